--- a/internal/ingress/caller.go
+++ b/internal/ingress/caller.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// callerOf tells callers apart by their address without the port: one that opens many
-// connections is still one caller.
-func callerOf(incoming *http.Request) string {
+// callerAddress identifies a caller by its IP address without the port, so that a client with
+// many connections counts as one caller.
+func callerAddress(incoming *http.Request) string {
 	host, _, err := net.SplitHostPort(incoming.RemoteAddr)
 	if err != nil {
 		return incoming.RemoteAddr
--- a/internal/ingress/caller_test.go
+++ b/internal/ingress/caller_test.go
@@ -6,9 +6,9 @@
 )
 
 func TestCallersAreToldApartByAddress(t *testing.T) {
-	first := callerOf(&http.Request{RemoteAddr: "127.0.0.1:1000"})
-	again := callerOf(&http.Request{RemoteAddr: "127.0.0.1:2000"})
-	other := callerOf(&http.Request{RemoteAddr: "127.0.0.2:1000"})
+	first := callerAddress(&http.Request{RemoteAddr: "127.0.0.1:1000"})
+	again := callerAddress(&http.Request{RemoteAddr: "127.0.0.1:2000"})
+	other := callerAddress(&http.Request{RemoteAddr: "127.0.0.2:1000"})
 	if first != again || first == other {
 		t.Errorf("callers %q, %q and %q", first, again, other)
 	}
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -12,235 +12,238 @@
 	"github.com/micahaven/micahaven/internal/sockets"
 )
 
-// idleGrace is added to the operators' limit, so that a request which was sent
-// just before it is not cut off.
-const idleGrace = time.Second
+// timeoutGrace is added to the configured timeouts, so that a request sent just before a
+// timeout expires still arrives in time.
+const timeoutGrace = time.Second
 
-// errReadingStopped means that a connection reads nothing more by its own decision.
-var errReadingStopped = errors.New("reading was stopped")
+// errReadStopped is returned by reads after StopReading.
+var errReadStopped = errors.New("reading from the connection was stopped")
 
-// ConnectionLimits ends clients' connections that are idle, or whose request
-// header does not end, for longer than limits that may change at any time.
+// ConnectionLimits closes client connections that exceed the idle timeout or the timeout for
+// receiving a request header. The timeouts may change at any time.
 //
-// Invariant: a connection is never closed while a request that has arrived on it
-// waits to be read, or was read and is not served yet. It holds because reading
-// from a waiting connection and noting that it was read are one step under its
-// mutex, and so are looking for unread bytes and closing. Time-outs by the state of a
-// connection alone do not keep it: on a busy machine some time may pass between the
-// arrival of a request and the moment at which its connection is called active.
+// Invariant: a connection is never closed while a request that has arrived on it is unread, or
+// has been read but not yet served. To keep it, reading from a waiting connection and recording
+// that data was read are one step under the connection's mutex, and so are checking for unread
+// data and closing. Timeouts based on the connection state alone do not keep it: on a loaded
+// machine, some time may pass between the arrival of a request and the moment at which its
+// connection becomes active.
 type ConnectionLimits struct {
-	limits func() (idle, header time.Duration)
+	timeouts func() (idle, header time.Duration)
 
 	mutex sync.Mutex
-	open  map[*limitedConnection]struct{}
+	open  map[*trackedConnection]struct{}
 }
 
-// NewConnectionLimits returns limits; a limit of zero means that there is none.
-func NewConnectionLimits(limits func() (idle, header time.Duration)) *ConnectionLimits {
-	return &ConnectionLimits{limits: limits, open: make(map[*limitedConnection]struct{})}
+// NewConnectionLimits returns limits that call timeouts on every check; zero disables a
+// timeout.
+func NewConnectionLimits(timeouts func() (idle, header time.Duration)) *ConnectionLimits {
+	return &ConnectionLimits{timeouts: timeouts, open: make(map[*trackedConnection]struct{})}
 }
 
-// Listener returns a listener whose connections the limits hold for.
+// Listener wraps a listener so that the connections it accepts are subject to the limits.
 func (l *ConnectionLimits) Listener(inner net.Listener) net.Listener {
-	return &limitedListener{inner}
+	return &trackedListener{inner}
 }
 
-type limitedListener struct{ net.Listener }
+type trackedListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l *limitedListener) Accept() (net.Conn, error) {
+func (l *trackedListener) Accept() (net.Conn, error) {
 	socket, err := l.Listener.Accept()
 	if err != nil {
-		// The server that accepts needs the error as it is.
+		// The accept loop inspects the error, so it is not wrapped.
 		return nil, err
 	}
-	return &limitedConnection{Conn: socket, since: time.Now()}, nil
+	return &trackedConnection{Conn: socket, stateSince: time.Now()}, nil
 }
 
-// limitedConnection is a client's connection. Until a server says that a request
-// on it is active, it waits for one.
-type limitedConnection struct {
+// trackedConnection is a client connection. It counts as waiting for a request until the server
+// reports it as active.
+type trackedConnection struct {
 	net.Conn
 
-	// mutex guards what follows. Nothing that blocks is called with it held.
+	// mutex guards the fields below. It is not held during blocking calls.
 	mutex  sync.Mutex
 	active bool
-	// reading is true once a byte of the next request was read; since is when that
-	// was, or when the connection began to wait if that was later.
-	reading bool
-	since   time.Time
-	// stopped is true once nothing more is read, and closing once the connection is to be
-	// closed.
-	stopped, closing bool
+	// partialRead is true once a byte of the next request has been read. stateSince is when
+	// that happened, or when the connection became idle if that was later.
+	partialRead bool
+	stateSince  time.Time
+	// readStopped is true once further reads are refused, and markedForClose once the
+	// connection is about to be closed.
+	readStopped, markedForClose bool
 }
 
 // Read implements net.Conn.
-func (c *limitedConnection) Read(into []byte) (int, error) {
-	return sockets.Read(c.Conn, into, func(read func() (int, error)) (int, error) {
+func (c *trackedConnection) Read(buffer []byte) (int, error) {
+	return sockets.Read(c.Conn, buffer, func(read func() (int, error)) (int, error) {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		switch {
-		case c.closing:
+		case c.markedForClose:
 			return 0, net.ErrClosed
-		case c.stopped:
-			return 0, errReadingStopped
+		case c.readStopped:
+			return 0, errReadStopped
 		}
 		count, err := read()
-		if count > 0 && !c.reading {
-			c.reading, c.since = true, time.Now()
+		if count > 0 && !c.partialRead {
+			c.partialRead, c.stateSince = true, time.Now()
 		}
 		return count, err
 	})
 }
 
-// CloseWrite tells the client that nothing more will come.
-func (c *limitedConnection) CloseWrite() error {
+// CloseWrite closes the writing side of the connection.
+func (c *trackedConnection) CloseWrite() error {
 	socket, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return errors.New("not a TCP connection")
 	}
-	return errors.Wrap(socket.CloseWrite(), "end writing")
+	return errors.Wrap(socket.CloseWrite(), "close writing side")
 }
 
 // SyscallConn implements syscall.Conn.
-func (c *limitedConnection) SyscallConn() (syscall.RawConn, error) {
+func (c *trackedConnection) SyscallConn() (syscall.RawConn, error) {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("connection has no descriptor")
+		return nil, errors.New("connection has no file descriptor")
 	}
 	raw, err := socket.SyscallConn()
-	return raw, errors.Wrap(err, "reach descriptor")
+	return raw, errors.Wrap(err, "access file descriptor")
 }
 
-// SetLinger says for how long the kernel sends after the connection was closed.
-func (c *limitedConnection) SetLinger(seconds int) error {
+// SetLinger sets how long the kernel keeps sending buffered data after the connection is
+// closed.
+func (c *trackedConnection) SetLinger(seconds int) error {
 	socket, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return errors.New("not a TCP connection")
 	}
-	return errors.Wrap(socket.SetLinger(seconds), "bound sending")
+	return errors.Wrap(socket.SetLinger(seconds), "set linger time")
 }
 
-// wait notes that the connection waits for a request from now on, if it has not read part
-// of one already.
-func (c *limitedConnection) wait() {
+// markIdle records that the connection waits for a request from now on. It keeps partialRead,
+// because part of the next request may have been read already.
+func (c *trackedConnection) markIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.active, c.since = false, time.Now()
+	c.active, c.stateSince = false, time.Now()
 }
 
-// begin notes that a request was read, and nothing behind it.
-func (c *limitedConnection) begin() {
+// markActive records that a request was read, and nothing after it.
+func (c *trackedConnection) markActive() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.active, c.reading = true, false
+	c.active, c.partialRead = true, false
 }
 
-// Reading notes that bytes of a further request were read along with the last one.
-func (l *ConnectionLimits) Reading(connection net.Conn) {
-	limited, ok := connection.(*limitedConnection)
+// MarkPartialRead records that data of the next request was read together with the previous
+// request.
+func (l *ConnectionLimits) MarkPartialRead(connection net.Conn) {
+	tracked, ok := connection.(*trackedConnection)
 	if !ok {
 		return
 	}
-	limited.mutex.Lock()
-	defer limited.mutex.Unlock()
-	limited.reading, limited.since = true, time.Now()
+	tracked.mutex.Lock()
+	defer tracked.mutex.Unlock()
+	tracked.partialRead, tracked.stateSince = true, time.Now()
 }
 
-// StopReading makes a connection read nothing more, unless it has read part of a request
-// that has not begun. It reports whether it did. What the client sends from then on stays
-// unread, so that the client knows that it never ran.
+// StopReading refuses further reads on a connection, unless part of the next request has
+// already been read. It reports whether reads are now refused. Data that the client sends
+// afterwards stays unread, which tells the client that those requests were not executed.
 func (l *ConnectionLimits) StopReading(connection net.Conn) bool {
-	limited, ok := connection.(*limitedConnection)
+	tracked, ok := connection.(*trackedConnection)
 	if !ok {
 		return false
 	}
-	limited.mutex.Lock()
-	defer limited.mutex.Unlock()
-	if limited.reading {
+	tracked.mutex.Lock()
+	defer tracked.mutex.Unlock()
+	if tracked.partialRead {
 		return false
 	}
-	limited.stopped = true
+	tracked.readStopped = true
 	return true
 }
 
-// closeIf closes a connection that waits if due agrees and no request has arrived.
-// It reports whether it did. The end of a connection waits for who reads from it, who
-// waits for the mutex, so that it is closed without the mutex.
-func (c *limitedConnection) closeIf(due func(since time.Time, reading bool) bool) bool {
-	if !c.decideClosing(due) {
+// closeIfExpired closes a waiting connection if expired returns true and no request has
+// arrived, and reports whether it did. Close waits for a pending Read, which may wait for the
+// mutex, so the mutex is not held during Close.
+func (c *trackedConnection) closeIfExpired(expired func(stateSince time.Time, partialRead bool) bool) bool {
+	if !c.markForClose(expired) {
 		return false
 	}
-	// The client sees the end of the connection; there is nobody to tell.
+	// A close error has no consequence: the connection is not used any more.
 	_ = c.Conn.Close()
 	return true
 }
 
-// decideClosing reports whether the connection is to be closed; nothing is read from it
-// any more then.
-func (c *limitedConnection) decideClosing(due func(since time.Time, reading bool) bool) bool {
+// markForClose reports whether the connection is to be closed; if so, it refuses all further
+// reads.
+func (c *trackedConnection) markForClose(expired func(stateSince time.Time, partialRead bool) bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.active || !due(c.since, c.reading) || !sockets.Quiet(c.Conn) {
+	if c.active || !expired(c.stateSince, c.partialRead) || !sockets.Quiet(c.Conn) {
 		return false
 	}
-	c.closing = true
+	c.markedForClose = true
 	return true
 }
 
-// Track follows the state of a connection. It may be a http.Server's ConnState.
+// Track updates the state of a connection. It can serve as http.Server's ConnState callback.
 func (l *ConnectionLimits) Track(connection net.Conn, state http.ConnState) {
-	limited, ok := connection.(*limitedConnection)
+	tracked, ok := connection.(*trackedConnection)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateNew:
 		l.mutex.Lock()
-		l.open[limited] = struct{}{}
+		l.open[tracked] = struct{}{}
 		l.mutex.Unlock()
 	case http.StateIdle:
-		limited.wait()
+		tracked.markIdle()
 	case http.StateActive:
-		limited.begin()
+		tracked.markActive()
 	case http.StateClosed, http.StateHijacked:
 		l.mutex.Lock()
-		delete(l.open, limited)
+		delete(l.open, tracked)
 		l.mutex.Unlock()
 	}
 }
 
-// Prune ends the connections that have waited for too long.
+// Prune closes the connections whose timeout has expired.
 func (l *ConnectionLimits) Prune(now time.Time) {
-	idle, header := l.limits()
-	for _, connection := range l.connections() {
-		connection.closeIf(func(since time.Time, reading bool) bool {
+	idle, header := l.timeouts()
+	for _, connection := range l.openConnections() {
+		connection.closeIfExpired(func(since time.Time, partialRead bool) bool {
 			limit := idle
-			if reading {
+			if partialRead {
 				limit = header
 			}
-			return limit > 0 && now.Sub(since) > limit+idleGrace
+			return limit > 0 && now.Sub(since) > limit+timeoutGrace
 		})
 	}
 }
 
-// CloseIdle ends the connections that wait for a request. It returns how many are
-// left.
+// CloseIdle closes the connections that wait for a request, and returns the number of
+// connections that remain open.
 func (l *ConnectionLimits) CloseIdle() int {
-	left := 0
-	for _, connection := range l.connections() {
-		if !connection.closeIf(func(_ time.Time, reading bool) bool { return !reading }) {
-			left++
+	remaining := 0
+	for _, connection := range l.openConnections() {
+		if !connection.closeIfExpired(func(_ time.Time, partialRead bool) bool { return !partialRead }) {
+			remaining++
 		}
 	}
-	return left
+	return remaining
 }
 
-// connections returns the open connections.
-func (l *ConnectionLimits) connections() []*limitedConnection {
+// openConnections returns a snapshot of the open connections.
+func (l *ConnectionLimits) openConnections() []*trackedConnection {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	open := make([]*limitedConnection, 0, len(l.open))
+	open := make([]*trackedConnection, 0, len(l.open))
 	for connection := range l.open {
 		open = append(open, connection)
 	}
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -9,9 +9,9 @@
 	"github.com/micahaven/micahaven/internal/ingress"
 )
 
-// accepted returns both ends of a loopback connection; the first one was accepted
-// by a listener with the limits.
-func accepted(t *testing.T, limits *ingress.ConnectionLimits) (server, client net.Conn) {
+// acceptTracked returns both ends of a loopback connection; the server end was accepted through
+// a listener with the limits.
+func acceptTracked(t *testing.T, limits *ingress.ConnectionLimits) (server, client net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,114 +31,113 @@
 	return server, client
 }
 
-// closed reports whether the peer of a connection has closed it.
-func closed(connection net.Conn) bool {
+// closedByPeer reports whether the peer of a connection has closed it.
+func closedByPeer(connection net.Conn) bool {
 	_ = connection.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := connection.Read(make([]byte, 1))
 	timeout, ok := err.(net.Error)
 	return !ok || !timeout.Timeout()
 }
 
-// waitUnread sends text and returns when it has arrived at the other end.
-func waitUnread(t *testing.T, client net.Conn, text string) {
+// sendAndWait sends text and returns once it has arrived at the other end.
+func sendAndWait(t *testing.T, client net.Conn, text string) {
 	t.Helper()
 	if _, err := client.Write([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
-	// The bytes cross the loopback device within this time.
+	// Loopback delivery takes less than this.
 	time.Sleep(50 * time.Millisecond)
 }
 
 func TestIdleConnectionsFollowTheLimit(t *testing.T) {
 	limit := 20 * time.Second
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return limit, 0 })
-	server, client := accepted(t, limits)
+	server, client := acceptTracked(t, limits)
 	start := time.Now()
 	limits.Track(server, http.StateIdle)
 	limits.Prune(start.Add(15 * time.Second))
-	if closed(client) {
-		t.Fatal("closed before the limit")
+	if closedByPeer(client) {
+		t.Fatal("closed before the timeout")
 	}
-	// A request comes and ends; the time counts anew.
+	// A request starts and ends; the idle time starts again.
 	limits.Track(server, http.StateActive)
 	limits.Prune(start.Add(time.Hour))
-	if closed(client) {
-		t.Fatal("closed while a request runs")
+	if closedByPeer(client) {
+		t.Fatal("closed while a request is running")
 	}
 	limits.Track(server, http.StateIdle)
 	limit = 5 * time.Second
 	limits.Prune(time.Now().Add(7 * time.Second))
-	if !closed(client) {
-		t.Fatal("open beyond the limit")
+	if !closedByPeer(client) {
+		t.Fatal("open after the timeout")
 	}
 }
 
-// A request that has arrived but was not read yet, because the node was busy,
-// must be served, however long its connection was idle before.
+// A request that has arrived but is still unread, because the node was busy, must be served
+// regardless of how long its connection was idle.
 func TestIdleConnectionWithUnreadRequestIsKept(t *testing.T) {
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Second, 0 })
-	server, client := accepted(t, limits)
+	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateIdle)
-	waitUnread(t, client, "GET / HTTP/1.1\r\n")
+	sendAndWait(t, client, "GET / HTTP/1.1\r\n")
 	limits.Prune(time.Now().Add(time.Minute))
-	if closed(client) {
-		t.Fatal("closed with a request that was not read")
+	if closedByPeer(client) {
+		t.Fatal("closed with an unread request")
 	}
 }
 
-// The same holds between the first byte of a request and the moment at which
-// net/http calls its connection active.
+// The same applies between the first byte of a request and the moment at which net/http reports
+// its connection as active.
 func TestIdleConnectionWithPartOfARequestReadIsKept(t *testing.T) {
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Second, 10 * time.Second })
-	server, client := accepted(t, limits)
+	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateIdle)
-	waitUnread(t, client, "GET / HTTP/1.1\r\n")
+	sendAndWait(t, client, "GET / HTTP/1.1\r\n")
 	if _, err := server.Read(make([]byte, 64)); err != nil {
 		t.Fatal(err)
 	}
 	limits.Prune(time.Now().Add(5 * time.Second))
-	if closed(client) {
+	if closedByPeer(client) {
 		t.Fatal("closed while a header is being read")
 	}
 	limits.Prune(time.Now().Add(12 * time.Second))
-	if !closed(client) {
-		t.Fatal("open although its header does not end")
+	if !closedByPeer(client) {
+		t.Fatal("open although its header is incomplete")
 	}
 }
 
 func TestNewConnectionsWithoutRequestAreIdle(t *testing.T) {
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Second, time.Second })
-	server, client := accepted(t, limits)
+	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateNew)
 	limits.Prune(time.Now().Add(10 * time.Second))
-	if !closed(client) {
+	if !closedByPeer(client) {
 		t.Fatal("a connection without a request stays open")
 	}
 }
 
 func TestIdleConnectionsAreClosedButForUnreadRequests(t *testing.T) {
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
-	idle, idleClient := accepted(t, limits)
-	asking, askingClient := accepted(t, limits)
+	idle, idleClient := acceptTracked(t, limits)
+	pending, pendingClient := acceptTracked(t, limits)
 	limits.Track(idle, http.StateIdle)
-	limits.Track(asking, http.StateIdle)
-	waitUnread(t, askingClient, "GET / HTTP/1.1\r\n")
-	if left := limits.CloseIdle(); left != 1 {
-		t.Fatalf("%d connections are left, want 1", left)
+	limits.Track(pending, http.StateIdle)
+	sendAndWait(t, pendingClient, "GET / HTTP/1.1\r\n")
+	if remaining := limits.CloseIdle(); remaining != 1 {
+		t.Fatalf("%d connections remain, want 1", remaining)
 	}
-	if !closed(idleClient) {
+	if !closedByPeer(idleClient) {
 		t.Fatal("the idle connection is open")
 	}
-	if closed(askingClient) {
-		t.Fatal("closed with a request that was not read")
+	if closedByPeer(pendingClient) {
+		t.Fatal("closed with an unread request")
 	}
 }
 
-// net/http always reads from an idle connection; looking at one must not wait for
-// that.
+// net/http always has a pending read on an idle connection; Prune must not block on it.
 func TestIdleConnectionsArePrunedWhileTheyAreRead(t *testing.T) {
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Second, 0 })
-	server, client := accepted(t, limits)
+	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateIdle)
 	go func() { _, _ = server.Read(make([]byte, 1)) }()
 	// The reader blocks within this time.
@@ -151,15 +150,15 @@
 	select {
 	case <-pruned:
 	case <-time.After(5 * time.Second):
-		t.Fatal("waits for the reader")
+		t.Fatal("Prune waits for the reader")
 	}
-	if !closed(client) {
-		t.Fatal("open beyond the limit")
+	if !closedByPeer(client) {
+		t.Fatal("open after the timeout")
 	}
 }
 
-// Seen on kervran-hq trouble-2 (LOST 2): a stopping node closed connections whose
-// requests it had just read. Reading and closing must not overlap.
+// Reading from a connection and closing it must exclude each other. When they overlapped, a
+// stopping node closed connections whose requests it had just read, and 2 requests were lost.
 func TestRequestsThatAreBeingReadAreNotCutOff(t *testing.T) {
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
 	const connections = 200
@@ -169,63 +168,63 @@
 	}
 	outcomes := make(chan outcome, connections)
 	for range connections {
-		server, client := accepted(t, limits)
+		server, client := acceptTracked(t, limits)
 		go func() {
 			received, _ := server.Read(make([]byte, 64))
-			// The server sees its own end only after what it received.
+			// The server detects a closed connection only when it writes after reading.
 			_, err := server.Write([]byte("HTTP/1.1 200 OK\r\n"))
 			outcomes <- outcome{received, err != nil}
 		}()
 		go func() { _, _ = client.Write([]byte("GET / HTTP/1.1\r\n\r\n")) }()
 	}
-	stop := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(stop)
+		defer close(stopped)
 		for range 50 {
 			limits.CloseIdle()
 		}
 	}()
 	for range connections {
-		if seen := <-outcomes; seen.received > 0 && seen.closed {
+		if result := <-outcomes; result.received > 0 && result.closed {
 			t.Fatal("a connection was closed after a request had been read from it")
 		}
 	}
-	<-stop
+	<-stopped
 }
 
-// With requests that are read ahead, the next one may arrive while one is active; it must
-// not be forgotten when that one ends.
+// With pipelining, the next request may arrive while one is active; its partial read must still
+// be recorded when the active request ends.
 func TestConnectionWithPartOfARequestReadWhileActiveIsKept(t *testing.T) {
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
-	server, client := accepted(t, limits)
+	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateActive)
-	waitUnread(t, client, "GET / HTTP/1.1\r\n")
+	sendAndWait(t, client, "GET / HTTP/1.1\r\n")
 	if _, err := server.Read(make([]byte, 64)); err != nil {
 		t.Fatal(err)
 	}
 	limits.Track(server, http.StateIdle)
-	if left := limits.CloseIdle(); left != 1 || closed(client) {
-		t.Fatal("closed with part of a request read")
+	if remaining := limits.CloseIdle(); remaining != 1 || closedByPeer(client) {
+		t.Fatal("closed after part of a request was read")
 	}
 	if limits.StopReading(server) {
-		t.Fatal("reading was stopped within a request")
+		t.Fatal("reading was stopped in the middle of a request")
 	}
 	limits.Track(server, http.StateActive)
-	limits.Reading(server)
+	limits.MarkPartialRead(server)
 	limits.Track(server, http.StateIdle)
-	if left := limits.CloseIdle(); left != 1 || closed(client) {
-		t.Fatal("closed with part of a request read along with the one before")
+	if remaining := limits.CloseIdle(); remaining != 1 || closedByPeer(client) {
+		t.Fatal("closed although part of a request was read together with the previous one")
 	}
 }
 
 func TestNothingIsReadOnceReadingWasStopped(t *testing.T) {
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
-	server, client := accepted(t, limits)
+	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateActive)
 	if !limits.StopReading(server) {
 		t.Fatal("reading was not stopped")
 	}
-	waitUnread(t, client, "GET / HTTP/1.1\r\n\r\n")
+	sendAndWait(t, client, "GET / HTTP/1.1\r\n\r\n")
 	if count, err := server.Read(make([]byte, 64)); count > 0 || err == nil {
 		t.Fatalf("%d bytes read, error %v", count, err)
 	}
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -11,7 +11,7 @@
 	Buckets: prometheus.ExponentialBuckets(0.005, 2, 12),
 }, []string{"service", "outcome"})
 
-var cutOffTotal = promauto.NewCounter(prometheus.CounterOpts{
+var forcedCloseTotal = promauto.NewCounter(prometheus.CounterOpts{
 	Name: "micahaven_ingress_cut_off_total",
 	Help: "Requests that were cut off before their answer was written when the node ended.",
 })
--- a/internal/ingress/paced.go
+++ b/internal/ingress/paced.go
@@ -9,74 +9,80 @@
 )
 
 const (
-	// largeAnswer is from how many bytes on an answer is written at the link's pace; a
-	// smaller one takes 26 ms of a link of 10 Mbit/s at most and never waits.
-	largeAnswer = 32 << 10
-	// answersPart is the part of the link that large answers may take. The rest is for
-	// small answers, for requests to servers and for what nodes tell each other.
-	answersPart = 0.8
-	// answersBurst is for how long large answers may occupy the link, and so how long
-	// something small stands behind them; a timer that fires late leaves no gap then.
-	answersBurst = 8 * time.Millisecond
-	// pieceTime is how long a piece of an answer takes on the link.
-	pieceTime = 8 * time.Millisecond
-	// leastPiece bounds the system calls for an answer on slow links.
-	leastPiece = 4 << 10
+	// pacedThreshold is the size in bytes from which responses are paced. A smaller response
+	// takes at most 26 ms on a link of 10 Mbit/s and is written at once.
+	pacedThreshold = 32 << 10
+	// pacedLinkShare is the fraction of the link capacity available to large responses. The
+	// remainder serves small responses, requests to servers and traffic between nodes.
+	pacedLinkShare = 0.8
+	// pacedBurst bounds how long large responses may occupy the link without a pause, and so
+	// how long a small message waits behind them. It also covers timers that fire late, which
+	// would otherwise leave the link unused.
+	pacedBurst = 8 * time.Millisecond
+	// segmentDuration is the time that one segment of a response takes on the link.
+	segmentDuration = 8 * time.Millisecond
+	// minSegmentSize bounds the number of system calls for each response on slow links.
+	minSegmentSize = 4 << 10
 )
 
-// answerLink paces the large answers of a node. Without it, an answer of 90 KB stands on a
-// link of 10 Mbit/s for 72 ms and several for 200 ms, before all that is small.
-type answerLink struct {
+// responsePacer paces the large responses of a node. Without pacing, a response of 90 KB
+// occupies a link of 10 Mbit/s for 72 ms, and several of them for 200 ms, delaying all small
+// messages.
+type responsePacer struct {
 	start time.Time
-	piece int
+	// segment is the size in bytes of the pieces in which a response is written.
+	segment int
 
 	mutex sync.Mutex
 	pacer *pace.Pacer
 }
 
-// newAnswerLink returns the link of a machine that carries some bytes a second.
-func newAnswerLink(linkBytes float64) *answerLink {
-	rate := answersPart * linkBytes
-	return &answerLink{start: time.Now(), piece: max(leastPiece, int(rate*pieceTime.Seconds())), pacer: pace.New(rate, answersBurst)}
+// newResponsePacer returns a pacer for a link with a capacity of bytesPerSecond.
+func newResponsePacer(bytesPerSecond float64) *responsePacer {
+	rate := pacedLinkShare * bytesPerSecond
+	return &responsePacer{start: time.Now(), segment: max(minSegmentSize, int(rate*segmentDuration.Seconds())), pacer: pace.New(rate, pacedBurst)}
 }
 
-// reserve returns how long to wait before the next piece of an answer.
-func (l *answerLink) reserve(bytes int) time.Duration {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.pacer.Reserve(time.Since(l.start), bytes)
+// reserve books the next segment and returns how long to wait before writing it.
+func (p *responsePacer) reserve(size int) time.Duration {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.pacer.Reserve(time.Since(p.start), size)
 }
 
-// PaceAnswers makes large answers leave room on a link that carries some bytes a second.
-// It must be called before the first request.
-func (h *Handler) PaceAnswers(linkBytes float64) { h.link = newAnswerLink(linkBytes) }
+// PaceAnswers enables pacing of large responses on a link with a capacity of bytesPerSecond. It
+// must be called before the first request.
+func (h *Handler) PaceAnswers(bytesPerSecond float64) { h.pacer = newResponsePacer(bytesPerSecond) }
 
-// paced returns a writer of an answer of some bytes, or of unknown length if more follow.
-func (h *Handler) paced(writer io.Writer, bytes int, more bool) io.Writer {
-	if h.link == nil || (bytes < largeAnswer && !more) {
+// withPacing returns a writer for a response of the given size. A streamed response is of
+// unknown size and is always paced.
+func (h *Handler) withPacing(writer io.Writer, size int, streamed bool) io.Writer {
+	if h.pacer == nil || (size < pacedThreshold && !streamed) {
 		return writer
 	}
 	return &pacedWriter{handler: h, writer: writer}
 }
 
-// pacedWriter writes in pieces, each when the link is ready for it.
+// pacedWriter writes a response in segments, each when the pacer permits it.
 type pacedWriter struct {
 	handler *Handler
 	writer  io.Writer
 }
 
-// Write implements io.Writer. A client that leaves is noticed with the next piece.
+// Write implements io.Writer. A client that has left is detected when the next segment is
+// written.
 func (w *pacedWriter) Write(content []byte) (int, error) {
 	written := 0
 	for written < len(content) {
-		piece := content[written:min(len(content), written+w.handler.link.piece)]
-		wait := w.handler.link.reserve(len(piece))
-		// A node that stops has no time to give away.
+		segment := content[written:min(len(content), written+w.handler.pacer.segment)]
+		wait := w.handler.pacer.reserve(len(segment))
+		// A stopping node does not pace, because its responses must be written before the
+		// shutdown timeout.
 		if wait > 0 && !w.handler.draining.Load() {
 			pacedSeconds.Add(wait.Seconds())
 			time.Sleep(wait)
 		}
-		count, err := w.writer.Write(piece)
+		count, err := w.writer.Write(segment)
 		written += count
 		if err != nil {
 			return written, err
--- a/internal/ingress/pipeline/connection.go
+++ b/internal/ingress/pipeline/connection.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// mostAhead is how many requests of one connection may be read and not answered.
-	// Callers that pipeline send a handful at a time; more would let one connection take
-	// the room of others.
-	mostAhead = 16
-	// mostHeld is how many bytes of answers one connection may hold: two of the longest
-	// usual answers.
-	mostHeld = 1 << 20
-	// requestCost is counted for a request beside its body: its head and what serving it
-	// takes.
-	requestCost = 4 << 10
-	// watchInterval is how often a connection that isn't read is asked whether its client
-	// has left, so that servers learn of it well within half a second.
-	watchInterval = 100 * time.Millisecond
-	// mostUnsent is how much of an answer the kernel takes that it can't send yet. Without a
-	// bound it takes megabytes for each client that doesn't read.
-	mostUnsent = 64 << 10
-	readBuffer = 4 << 10
+	// maxPipelined is the maximum number of unanswered requests read from one connection.
+	// Clients that pipeline send a few requests at a time; a higher limit would let one
+	// connection use up the memory budget of the others.
+	maxPipelined = 16
+	// maxConnectionBuffer is the maximum number of buffered response bytes per connection: room
+	// for two of the longest usual responses.
+	maxConnectionBuffer = 1 << 20
+	// requestOverhead is charged for each request in addition to its body: its header and the
+	// memory needed to serve it.
+	requestOverhead = 4 << 10
+	// disconnectPollInterval is how often a connection that is not being read is checked for a
+	// client that has left, so that servers learn of it well within half a second.
+	disconnectPollInterval = 100 * time.Millisecond
+	// maxUnsent bounds the response data that the kernel buffers but can't send yet. Without a
+	// bound it buffers megabytes for each client that doesn't read.
+	maxUnsent      = 64 << 10
+	readBufferSize = 4 << 10
 )
 
-// connection is a client's connection. One goroutine reads requests from it and lives as
-// long as it does; each request runs in a goroutine of its own. The goroutine of a request
-// whose answer has its turn writes it, and those behind it that are finished.
+// connection is a client connection. One goroutine reads its requests for as long as the
+// connection lives; each request runs in a goroutine of its own. When a response reaches the
+// head of the queue, the goroutine of its request writes it, followed by the completed
+// responses that come next in the queue.
 type connection struct {
 	server *Server
 	socket net.Conn
@@ -42,137 +43,140 @@
 	remote string
 	ctx    context.Context
 	cancel context.CancelFunc
-	// afterPost is true if the last request was a POST; only the reader uses it.
+	// afterPost is true if the last request was a POST. Only the reader goroutine uses it.
 	afterPost bool
-	// wake tells a reader that pauses to look again.
+	// wake makes a waiting reader check its condition again.
 	wake chan struct{}
 
-	// mutex guards what follows. Nothing that blocks is called with it held.
+	// mutex guards the fields below. It is not held during blocking calls.
 	mutex sync.Mutex
-	// queue holds the requests that were read and are not answered, in order.
+	// queue holds the requests that were read but not yet answered, in order of arrival.
 	queue []*exchange
-	// writer is the one whose goroutine writes; nil if nobody does.
-	writer *exchange
-	// held is how many bytes of answers wait.
-	held int
-	// closing is true once an answer asked for the end of the connection. What was read
-	// until then is answered first.
+	// writing is the exchange whose goroutine currently writes to the socket; nil if none does.
+	writing *exchange
+	// buffered is the number of response bytes waiting for their turn to be written.
+	buffered int
+	// closing is true once a response has asked to close the connection. Requests read before
+	// that are still answered.
 	closing bool
-	// noMore is true once no further request is taken in.
-	noMore bool
-	// ended is true once nothing is left to answer and the connection can be closed.
-	ended bool
-	// paused is true while the reader waits for wake.
-	paused bool
-	// reset is true if the connection is not to end in order: the client took nothing and is
-	// given up, or would take part of an answer for the whole.
+	// inputClosed is true once no further requests are accepted.
+	inputClosed bool
+	// finished is true once nothing is left to answer and the connection can be closed.
+	finished bool
+	// readerWaiting is true while the reader waits on wake.
+	readerWaiting bool
+	// reset is true if the connection must be closed with a TCP reset: the client stopped
+	// reading its response, or it would take a truncated response for a complete one.
 	reset bool
-	// aborted is true if an answer was broken off.
+	// aborted is true if a response was aborted.
 	aborted bool
 }
 
 func newConnection(server *Server, socket net.Conn) *connection {
 	c := &connection{server: server, socket: socket, remote: socket.RemoteAddr().String(), wake: make(chan struct{}, 1)}
 	c.input = &limitedReader{source: socket}
-	c.reader = bufio.NewReaderSize(c.input, readBuffer)
+	c.reader = bufio.NewReaderSize(c.input, readBufferSize)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// run reads requests until the connection ends.
-func (c *connection) run() {
-	defer c.server.forget(c)
+// serve reads requests until the connection ends, and then closes it.
+func (c *connection) serve() {
+	defer c.server.remove(c)
 	defer c.cancel()
-	for first := true; c.awaitRoom(); first = false {
+	for first := true; c.waitForCapacity(); first = false {
 		e, err := c.readHead(first)
 		if err != nil {
-			c.fail(err)
+			c.handleReadError(err)
 			break
 		}
-		if !c.add(e) {
+		if !c.enqueue(e) {
 			break
 		}
 		e.readBody()
-		c.begin(e)
-		if (e.body != nil && !c.awaitBody(e)) || e.final {
-			c.stopReading()
+		c.schedule(e)
+		if (e.body != nil && !c.waitForBody(e)) || e.lastRequest {
+			c.closeInput()
 			break
 		}
 	}
-	c.pause(func() bool { return c.ended })
+	c.waitUntil(func() bool { return c.finished })
 	c.close()
 }
 
-// awaitRoom waits until a further request may be read. It reports false if none will be.
-func (c *connection) awaitRoom() bool {
-	c.pause(func() bool {
-		return c.noMore || len(c.queue) == 0 || (len(c.queue) < mostAhead && !c.server.Held.full())
+// waitForCapacity waits until another request may be read. It reports false if no more requests
+// are accepted.
+func (c *connection) waitForCapacity() bool {
+	c.waitUntil(func() bool {
+		return c.inputClosed || len(c.queue) == 0 || (len(c.queue) < maxPipelined && !c.server.Held.exhausted())
 	})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.noMore
+	return !c.inputClosed
 }
 
-// awaitBody waits until a handler has read the body of its request. It reports false if
-// the handler has ended before.
-func (c *connection) awaitBody(e *exchange) bool {
-	c.pause(func() bool { return e.bodyRead || e.dropped || e.state == done })
+// waitForBody waits until the handler has read the request body. It reports false if the
+// handler returned without reading all of it.
+func (c *connection) waitForBody(e *exchange) bool {
+	c.waitUntil(func() bool { return e.bodyRead || e.dropped || e.state == stateDone })
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	// If it was not read whole, who sends the body on may still be reading it.
+	// If the body was not fully read, the goroutine that forwards it may still be reading from
+	// the connection.
 	return e.bodyRead
 }
 
-// noteBody notes that a handler has read the body of its request. The reader waits for
-// that, so that nothing else reads from the connection meanwhile. It is noted before the
-// handler can answer: an answer that ends the connection must know that nothing of a
+// markBodyRead records that a handler has read the request body to its end. The reader waits
+// for this, so that only one goroutine reads from the connection. It must be recorded before
+// the handler can respond: a response that closes the connection must know that no data of a
 // further request was read.
-func (c *connection) noteBody(e *exchange) {
+func (c *connection) markBodyRead(e *exchange) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if e.bodyRead {
-		// The handler asks again, and the next request may be read already.
+		// The handler read again after the end of the body; the next request may already have
+		// been read.
 		return
 	}
 	e.bodyRead = true
-	c.noteReadLocked()
-	c.stopIfClosingLocked()
-	if len(c.queue) == 0 && !c.ended {
+	c.trackReadLocked()
+	c.stopReadingIfClosingLocked()
+	if len(c.queue) == 0 && !c.finished {
 		c.server.Connections.Track(c.socket, http.StateIdle)
 	}
-	c.wakeLocked()
+	c.wakeReaderLocked()
 }
 
-// pause waits until a condition holds that is asked with the mutex held. It watches the
-// client meanwhile.
-func (c *connection) pause(until func() bool) {
+// waitUntil waits until a condition holds, which is evaluated with the mutex held. In the
+// meantime it checks whether the client has left.
+func (c *connection) waitUntil(condition func() bool) {
 	var timer *time.Timer
 	for {
 		c.mutex.Lock()
-		c.paused = !until()
-		paused := c.paused
+		c.readerWaiting = !condition()
+		readerWaiting := c.readerWaiting
 		c.mutex.Unlock()
-		if !paused {
+		if !readerWaiting {
 			return
 		}
 		if timer == nil {
-			timer = time.NewTimer(watchInterval)
+			timer = time.NewTimer(disconnectPollInterval)
 			defer timer.Stop()
 		} else {
-			timer.Reset(watchInterval)
+			timer.Reset(disconnectPollInterval)
 		}
 		select {
 		case <-c.wake:
 		case <-timer.C:
-			if sockets.Left(c.socket) {
-				c.leave()
+			if sockets.PeerClosed(c.socket) {
+				c.handleDisconnect()
 			}
 		}
 	}
 }
 
-func (c *connection) wakeLocked() {
-	if !c.paused {
+func (c *connection) wakeReaderLocked() {
+	if !c.readerWaiting {
 		return
 	}
 	select {
@@ -181,47 +185,48 @@
 	}
 }
 
-// fail ends reading after an error: the client has left, or what it sent is no request.
-func (c *connection) fail(err error) {
+// handleReadError ends reading after an error: the client has left, or it sent a malformed
+// request.
+func (c *connection) handleReadError(err error) {
 	c.mutex.Lock()
-	if c.noMore {
-		// Reading was stopped from this side.
-		c.endIfDoneLocked()
+	if c.inputClosed {
+		// The server itself stopped reading.
+		c.finishIfEmptyLocked()
 		c.mutex.Unlock()
 		return
 	}
-	answer := rejection(err)
-	if answer == "" {
+	response := errorResponse(err)
+	if response == "" {
 		c.mutex.Unlock()
-		c.leave()
+		c.handleDisconnect()
 		return
 	}
-	e := &exchange{connection: c, state: done, raw: answer, cancel: func() {}}
-	c.noMore = true
+	e := &exchange{connection: c, state: stateDone, rawResponse: response, cancel: func() {}}
+	c.inputClosed = true
 	c.queue = append(c.queue, e)
 	c.server.Connections.Track(c.socket, http.StateActive)
 	c.flush(e)
 }
 
-// leave notes that the client has left: what runs is cancelled, what doesn't is dropped.
-func (c *connection) leave() {
+// handleDisconnect cancels the running requests and drops the others after the client has left.
+func (c *connection) handleDisconnect() {
 	c.cancel()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.noMore = true
+	c.inputClosed = true
 	for index, e := range c.queue {
-		if e.state < running {
+		if e.state < stateRunning {
 			c.dropLocked(index)
 			break
 		}
 	}
-	c.endIfDoneLocked()
-	c.wakeLocked()
+	c.finishIfEmptyLocked()
+	c.wakeReaderLocked()
 }
 
-func (c *connection) stopReading() {
+func (c *connection) closeInput() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.noMore = true
-	c.endIfDoneLocked()
+	c.inputClosed = true
+	c.finishIfEmptyLocked()
 }
--- a/internal/ingress/pipeline/fuzz_test.go
+++ b/internal/ingress/pipeline/fuzz_test.go
@@ -18,7 +18,7 @@
 	"github.com/micahaven/micahaven/internal/ingress/pipeline"
 )
 
-// echo answers with all that a handler sees of a request.
+// echo responds with everything that a handler sees of a request.
 func echo(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -32,7 +32,7 @@
 		writer.WriteHeader(http.StatusNotModified)
 		return
 	case "/long":
-		// Longer than what is held for a length.
+		// Longer than what is buffered to determine the Content-Length.
 		body = bytes.Repeat([]byte("long "), 1000)
 	case "/short":
 		writer.Header().Set("Content-Length", "100000")
@@ -44,8 +44,8 @@
 	_, _ = writer.Write(body)
 }
 
-// seeds are requests on which servers are known to disagree. The same are played as an
-// ordinary test.
+// seeds are inputs on which HTTP servers are known to differ. The ordinary test runs them as
+// well.
 var seeds = []string{
 	"GET / HTTP/1.1\r\nHost: h\r\n\r\n",
 	"GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\nGET /long HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -115,57 +115,59 @@
 	"G",
 }
 
-// pair is the server and net/http's, with the same handler.
-type pair struct{ own, standard string }
+// serverPair holds the addresses of the pipelining server and of a net/http server, both with
+// the same handler.
+type serverPair struct{ pipelined, standard string }
 
-func newPair(t testing.TB) pair {
+func newServerPair(t testing.TB) serverPair {
 	t.Helper()
 	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
-	own := &pipeline.Server{
-		Handler: http.HandlerFunc(echo), Connections: limits, HeaderBytes: 64 << 10, Held: room(), Logger: zap.NewNop(),
+	pipelined := &pipeline.Server{
+		Handler: http.HandlerFunc(echo), Connections: limits, HeaderBytes: 64 << 10, Held: newBudget(), Logger: zap.NewNop(),
 		SideBySide: func(*http.Request) bool { return true },
 	}
 	standard := &http.Server{Handler: http.HandlerFunc(echo), MaxHeaderBytes: 64 << 10}
-	start := func(serve func(net.Listener) error, end func() error) string {
+	start := func(serve func(net.Listener) error, closeServer func() error) string {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		go func() { _ = serve(limits.Listener(listener)) }()
-		t.Cleanup(func() { _ = end() })
+		t.Cleanup(func() { _ = closeServer() })
 		return listener.Addr().String()
 	}
-	return pair{own: start(own.Serve, own.Close), standard: start(standard.Serve, standard.Close)}
+	return serverPair{pipelined: start(pipelined.Serve, pipelined.Close), standard: start(standard.Serve, standard.Close)}
 }
 
-// answers sends bytes, ends that side, and returns all that comes back.
-func answers(t *testing.T, address string, content []byte) []byte {
+// sendAll sends content, closes the writing side and returns everything that the server sends
+// back.
+func sendAll(t *testing.T, address string, content []byte) []byte {
 	t.Helper()
 	socket, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Skip(err)
 	}
 	defer socket.Close()
-	if err := socket.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := socket.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	// A server may have closed the connection already.
+	// The server may have closed the connection already.
 	_, _ = socket.Write(content)
 	_ = socket.(*net.TCPConn).CloseWrite()
 	got, err := io.ReadAll(socket)
-	if failure, ok := err.(net.Error); ok && failure.Timeout() {
-		t.Fatalf("%s does not end the connection", address)
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+		t.Fatalf("%s does not close the connection", address)
 	}
 	return got
 }
 
-// summary says what a client makes of answers: status, headers and body of each, and
-// whether it is whole.
-func summary(content, received []byte) []string {
+// parseResponses describes the responses as a client parses them: status, headers, body and
+// whether the body is complete.
+func parseResponses(content, received []byte) []string {
 	requests, reader := bufio.NewReader(bytes.NewReader(content)), bufio.NewReader(bytes.NewReader(received))
-	var seen []string
+	var responses []string
 	for {
-		// The method says whether an answer has a body.
+		// Whether a response has a body depends on the request method.
 		request, err := http.ReadRequest(requests)
 		if err != nil {
 			request = &http.Request{Method: http.MethodGet, Body: http.NoBody}
@@ -176,67 +178,68 @@
 			response, err := http.ReadResponse(reader, request)
 			if err != nil {
 				rest, _ := io.ReadAll(reader)
-				return append(seen, fmt.Sprintf("%q", rest))
+				return append(responses, fmt.Sprintf("%q", rest))
 			}
 			status = response.StatusCode
 			body, err := io.ReadAll(response.Body)
 			for _, name := range []string{"Date", "Connection"} {
 				response.Header.Del(name)
 			}
-			seen = append(seen, fmt.Sprint(response.Proto, response.Status, response.Header, response.ContentLength, response.TransferEncoding, string(body), err))
+			responses = append(responses, fmt.Sprint(response.Proto, response.Status, response.Header, response.ContentLength, response.TransferEncoding, string(body), err))
 		}
 	}
 }
 
-// tolerated reports whether servers may disagree on some bytes; docs/design/callers.md
-// names these.
-func tolerated(content, own, standard []byte) bool {
+// knownDifference reports whether the servers are allowed to differ on an input.
+// docs/design/callers.md lists these cases.
+func knownDifference(content, pipelined, standard []byte) bool {
 	if bytes.Contains(content, []byte("PRI * HTTP/2.0")) {
 		return true
 	}
-	answered, expected := summary(content, own), summary(content, standard)
+	actual, expected := parseResponses(content, pipelined), parseResponses(content, standard)
 	const missing, malformed = "missing required Host header", "malformed Host header"
-	if beginsWithAllBefore(missing, answered, expected) || beginsWithAllBefore(missing, expected, answered) {
+	if refusedAfter(missing, actual, expected) || refusedAfter(missing, expected, actual) {
 		return true
 	}
 	targetNamesHost := bytes.Contains(content, []byte("://")) || bytes.Contains(content, []byte("CONNECT "))
-	if targetNamesHost && beginsWithAllBefore(malformed, expected, answered) {
+	if targetNamesHost && refusedAfter(malformed, expected, actual) {
 		return true
 	}
-	// What follows a request that runs alone isn't begun once the client has ended its side.
-	answered = answered[:len(answered)-1]
+	// Requests behind one that runs alone are not started once the client has closed its
+	// writing side.
+	actual = actual[:len(actual)-1]
 	alone := bytes.Contains(bytes.ToLower(content), []byte("100-continue"))
-	return alone && len(answered) > 0 && beginsWith(expected, answered)
+	return alone && len(actual) > 0 && isProperPrefix(expected, actual)
 }
 
-func beginsWith(all, begin []string) bool {
-	return len(begin) < len(all) && slices.Equal(begin, all[:len(begin)])
+func isProperPrefix(all, prefix []string) bool {
+	return len(prefix) < len(all) && slices.Equal(prefix, all[:len(prefix)])
 }
 
-// beginsWithAllBefore reports whether one server's last answer is a refusal, while the
-// other goes on after the same answers before.
-func beginsWithAllBefore(refusal string, one, other []string) bool {
-	last := len(one) - 2
-	return last >= 0 && strings.Contains(one[last], refusal) && beginsWith(other, one[:last])
+// refusedAfter reports whether one server's last response is the given refusal, while the other
+// server sends further responses after the same preceding ones.
+func refusedAfter(refusal string, refused, other []string) bool {
+	last := len(refused) - 2
+	return last >= 0 && strings.Contains(refused[last], refusal) && isProperPrefix(other, refused[:last])
 }
 
-func (p pair) compare(t *testing.T, content []byte) {
+func (p serverPair) compare(t *testing.T, content []byte) {
 	t.Helper()
-	own, standard := answers(t, p.own, content), answers(t, p.standard, content)
-	if !slices.Equal(summary(content, own), summary(content, standard)) && !tolerated(content, own, standard) {
-		t.Errorf("%q\nis answered\n%q\nby net/http\n%q", content, own, standard)
+	pipelined, standard := sendAll(t, p.pipelined, content), sendAll(t, p.standard, content)
+	if !slices.Equal(parseResponses(content, pipelined), parseResponses(content, standard)) && !knownDifference(content, pipelined, standard) {
+		t.Errorf("%q\nis answered\n%q\nby net/http\n%q", content, pipelined, standard)
 	}
 }
 
 func TestSameAnswersAsTheStandardServer(t *testing.T) {
-	servers := newPair(t)
+	servers := newServerPair(t)
 	for _, seed := range seeds {
 		servers.compare(t, []byte(seed))
 	}
 }
 
 func FuzzSameAnswersAsTheStandardServer(f *testing.F) {
-	servers := newPair(f)
+	servers := newServerPair(f)
 	for _, seed := range seeds {
 		f.Add([]byte(seed))
 	}
--- a/internal/ingress/pipeline/held.go
+++ b/internal/ingress/pipeline/held.go
@@ -2,55 +2,55 @@
 
 import "sync/atomic"
 
-// Held counts the bytes that a node holds for its clients: requests that were read, and
-// answers that wait for an earlier answer of their connection. Beyond its limit,
-// connections read no further request while one is served, and long answers are not read
-// ahead from their servers.
+// Held accounts for the memory that a node holds for its clients: requests that were read, and
+// responses that wait for an earlier response on their connection. Once the limit is reached, a
+// connection reads no further request while one is being served, and long responses are not
+// read ahead from their servers.
 type Held struct {
 	limit int64
-	now   atomic.Int64
+	used  atomic.Int64
 	peak  atomic.Int64
 }
 
-// NewHeld returns a count with a limit in bytes.
+// NewHeld returns an account with a limit in bytes.
 func NewHeld(limit int64) *Held { return &Held{limit: limit} }
 
-// add counts bytes whether or not there is room.
-func (h *Held) add(count int) {
-	now := h.now.Add(int64(count))
+// reserve charges bytes even if the limit is exceeded.
+func (h *Held) reserve(count int) {
+	used := h.used.Add(int64(count))
 	for {
 		peak := h.peak.Load()
-		if now <= peak {
+		if used <= peak {
 			return
 		}
-		if h.peak.CompareAndSwap(peak, now) {
-			heldPeak.Set(float64(now))
+		if h.peak.CompareAndSwap(peak, used) {
+			heldPeakBytes.Set(float64(used))
 			return
 		}
 	}
 }
 
-// take counts bytes if there is room for them.
-func (h *Held) take(count int) bool {
+// tryReserve charges bytes unless the limit would be exceeded, and reports whether it did.
+func (h *Held) tryReserve(count int) bool {
 	for {
-		now := h.now.Load()
-		if now+int64(count) > h.limit {
+		used := h.used.Load()
+		if used+int64(count) > h.limit {
 			return false
 		}
-		if h.now.CompareAndSwap(now, now+int64(count)) {
-			h.add(0)
+		if h.used.CompareAndSwap(used, used+int64(count)) {
+			h.reserve(0)
 			return true
 		}
 	}
 }
 
-func (h *Held) release(count int) { h.now.Add(-int64(count)) }
+func (h *Held) release(count int) { h.used.Add(-int64(count)) }
 
-// full reports whether there is no room.
-func (h *Held) full() bool { return h.now.Load() >= h.limit }
+// exhausted reports whether the limit is reached.
+func (h *Held) exhausted() bool { return h.used.Load() >= h.limit }
 
-// Now returns how many bytes are held.
-func (h *Held) Now() int64 { return h.now.Load() }
+// Now returns the number of bytes currently held.
+func (h *Held) Now() int64 { return h.used.Load() }
 
-// Peak returns the most bytes that were held at once.
+// Peak returns the largest number of bytes held at any time.
 func (h *Held) Peak() int64 { return h.peak.Load() }
--- a/internal/ingress/pipeline/metrics.go
+++ b/internal/ingress/pipeline/metrics.go
@@ -5,18 +5,18 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-var behindSeconds = promauto.NewHistogram(prometheus.HistogramOpts{
+var headOfLineSeconds = promauto.NewHistogram(prometheus.HistogramOpts{
 	Name:    "micahaven_ingress_behind_seconds",
 	Help:    "Time that a finished answer waited for an earlier answer of its connection.",
 	Buckets: prometheus.ExponentialBuckets(0.005, 2, 12),
 })
 
-var givenUpTotal = promauto.NewCounter(prometheus.CounterOpts{
+var stalledClientsTotal = promauto.NewCounter(prometheus.CounterOpts{
 	Name: "micahaven_ingress_given_up_total",
 	Help: "Connections that were reset because their client took nothing of an answer.",
 })
 
-var heldPeak = promauto.NewGauge(prometheus.GaugeOpts{
+var heldPeakBytes = promauto.NewGauge(prometheus.GaugeOpts{
 	Name: "micahaven_ingress_held_peak_bytes",
 	Help: "The most bytes of requests and waiting answers that were held for clients at once.",
 })
--- a/internal/ingress/pipeline/queue.go
+++ b/internal/ingress/pipeline/queue.go
@@ -8,67 +8,67 @@
 	"go.uber.org/zap"
 )
 
-// add notes that the head of a request was read. It reports false if the connection takes
-// no more.
-func (c *connection) add(e *exchange) bool {
+// enqueue adds a request whose header was read to the queue. It reports false if the connection
+// accepts no more requests.
+func (c *connection) enqueue(e *exchange) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.noMore {
+	if c.inputClosed {
 		e.cancel()
 		return false
 	}
 	c.queue = append(c.queue, e)
-	c.noteReadLocked()
+	c.trackReadLocked()
 	return true
 }
 
-// noteReadLocked notes that a request, or its head, was read.
-func (c *connection) noteReadLocked() {
+// trackReadLocked reports the connection as active after a request or its header was read.
+func (c *connection) trackReadLocked() {
 	c.server.Connections.Track(c.socket, http.StateActive)
-	if c.reader.Buffered() > 0 && !c.onlyLineEnds() {
-		c.server.Connections.Reading(c.socket)
+	if c.reader.Buffered() > 0 && !c.onlyLineBreaks() {
+		c.server.Connections.MarkPartialRead(c.socket)
 	}
 }
 
-// stopIfClosingLocked stops reading on a connection that is to end, unless part of a
-// request was read already: that one is still read and answered.
-func (c *connection) stopIfClosingLocked() {
-	if !c.closing || c.noMore || len(c.queue) == 0 {
+// stopReadingIfClosingLocked stops reading on a connection that is to be closed, unless part of
+// a request has already been read: that request is still read completely and answered.
+func (c *connection) stopReadingIfClosingLocked() {
+	if !c.closing || c.inputClosed || len(c.queue) == 0 {
 		return
 	}
-	if last := c.queue[len(c.queue)-1]; last.state == arriving || !last.bodyRead {
+	if last := c.queue[len(c.queue)-1]; last.state == stateReading || !last.bodyRead {
 		return
 	}
-	c.noMore = c.server.Connections.StopReading(c.socket)
+	c.inputClosed = c.server.Connections.StopReading(c.socket)
 }
 
-// begin notes that a request was read whole, and runs it if its turn has come.
-func (c *connection) begin(e *exchange) {
+// schedule marks a request as fully read, and starts it if it may run.
+func (c *connection) schedule(e *exchange) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if e.dropped {
 		return
 	}
-	e.cost = requestCost + e.bodyBytes
-	c.server.Held.add(e.cost)
-	e.state = waiting
-	c.noteReadLocked()
-	c.stopIfClosingLocked()
-	c.startLocked()
+	e.reservedBytes = requestOverhead + e.bodyBytes
+	c.server.Held.reserve(e.reservedBytes)
+	e.state = stateQueued
+	c.trackReadLocked()
+	c.stopReadingIfClosingLocked()
+	c.startReadyLocked()
 }
 
-// startLocked runs the requests whose turn has come: those that may run side by side
-// beside each other, any other alone.
-func (c *connection) startLocked() {
+// startReadyLocked starts the queued requests that may run: concurrent ones together with each
+// other, any other request alone.
+func (c *connection) startReadyLocked() {
 	for index, e := range c.queue {
-		if e.state == arriving || (index > 0 && !e.mayRunBeside()) {
+		if e.state == stateReading || (index > 0 && !e.mayRunConcurrently()) {
 			return
 		}
-		if e.state == waiting {
-			e.state = running
-			c.server.workers.run(e)
+		if e.state == stateQueued {
+			e.state = stateRunning
+			c.server.workerPool.run(e)
 		}
-		if index+1 < len(c.queue) && !e.mayRunBeside() {
+		if index+1 < len(c.queue) && !e.mayRunConcurrently() {
 			return
 		}
 	}
@@ -76,69 +76,70 @@
 
 func (c *connection) handle(e *exchange) {
 	defer func() {
-		failure := recover()
-		if failure != nil && failure != http.ErrAbortHandler {
-			c.server.Logger.Error("panic while a request was served", zap.Any("panic", failure), zap.ByteString("stack", debug.Stack()))
+		panicValue := recover()
+		if panicValue != nil && panicValue != http.ErrAbortHandler {
+			c.server.Logger.Error("panic while a request was served", zap.Any("panic", panicValue), zap.ByteString("stack", debug.Stack()))
 		}
 		e.cancel()
-		c.finish(e, failure != nil)
+		c.complete(e, panicValue != nil)
 	}()
 	if e.request.Method == http.MethodOptions && e.request.RequestURI == "*" {
-		// It asks about the server itself, not for a resource.
+		// OPTIONS * concerns the server as a whole, not a resource.
 		e.header.Set("Content-Length", "0")
 		return
 	}
 	c.server.Handler.ServeHTTP(e, e.request)
 }
 
-// finish takes in that the handler of a request has returned.
-func (c *connection) finish(e *exchange, aborted bool) {
+// complete records that the handler of a request has returned, and writes the response if it is
+// its turn.
+func (c *connection) complete(e *exchange, aborted bool) {
 	c.mutex.Lock()
-	e.state, e.aborted, e.doneAt = done, aborted, time.Now()
-	c.wakeLocked()
+	e.state, e.aborted, e.completedAt = stateDone, aborted, time.Now()
+	c.wakeReaderLocked()
 	if e.dropped {
 		c.mutex.Unlock()
-		e.report(0)
+		e.notifyTurn(0)
 		return
 	}
 	switch {
 	case aborted:
-		c.dropBehindLocked(e)
-	case e.asksToClose():
+		c.dropAfterLocked(e)
+	case e.requestsClose():
 		c.closing = true
-		c.stopIfClosingLocked()
+		c.stopReadingIfClosingLocked()
 	}
-	if c.queue[0] != e || (c.writer != nil && c.writer != e) {
+	if c.queue[0] != e || (c.writing != nil && c.writing != e) {
 		c.mutex.Unlock()
 		return
 	}
 	c.flush(e)
 }
 
-// flush writes the answers that have their turn. It is called with the mutex held, and
-// releases it.
-func (c *connection) flush(by *exchange) {
+// flush writes the completed responses at the head of the queue. It must be called with the
+// mutex held, and releases it.
+func (c *connection) flush(owner *exchange) {
 	defer c.mutex.Unlock()
-	if c.writer != nil && c.writer != by {
+	if c.writing != nil && c.writing != owner {
 		return
 	}
-	for len(c.queue) > 0 && c.queue[0].state == done {
+	for len(c.queue) > 0 && c.queue[0].state == stateDone {
 		e := c.queue[0]
-		c.writer = e
+		c.writing = e
 		c.mutex.Unlock()
-		if e == by {
-			e.report(e.behind(time.Time{}))
+		if e == owner {
+			e.notifyTurn(e.headOfLineWait(time.Time{}))
 		} else {
-			e.report(e.behind(e.doneAt))
+			e.notifyTurn(e.headOfLineWait(e.completedAt))
 		}
-		goesOn := e.writeOut()
+		keepOpen := e.writeRemaining()
 		c.mutex.Lock()
-		c.writer = nil
+		c.writing = nil
 		c.releaseLocked(e)
-		if !goesOn {
-			c.noMore = true
+		if !keepOpen {
+			c.inputClosed = true
 			c.aborted = c.aborted || e.aborted
-			c.reset = c.reset || (e.aborted && e.endsWithConnection())
+			c.reset = c.reset || (e.aborted && e.closeDelimited())
 			c.dropLocked(0)
 			break
 		}
@@ -146,34 +147,35 @@
 		c.queue[len(c.queue)-1] = nil
 		c.queue = c.queue[:len(c.queue)-1]
 	}
-	c.endIfDoneLocked()
+	c.finishIfEmptyLocked()
 	if len(c.queue) > 0 && c.queue[0].turn != nil {
 		close(c.queue[0].turn)
 		c.queue[0].turn = nil
 	}
-	c.startLocked()
-	c.wakeLocked()
+	c.startReadyLocked()
+	c.wakeReaderLocked()
 }
 
-// endIfDoneLocked acts on an empty queue: the connection is idle, or it ends.
-func (c *connection) endIfDoneLocked() {
-	if len(c.queue) > 0 || c.ended {
+// finishIfEmptyLocked handles an empty queue: the connection becomes idle, or it is finished if
+// it accepts no more requests.
+func (c *connection) finishIfEmptyLocked() {
+	if len(c.queue) > 0 || c.finished {
 		return
 	}
-	if !c.noMore {
+	if !c.inputClosed {
 		c.server.Connections.Track(c.socket, http.StateIdle)
 		return
 	}
-	c.ended = true
-	c.wakeLocked()
-	// A reader that waits for a request goes on with this; it fails only if the socket is
-	// closed, and then the reader goes on as well.
+	c.finished = true
+	c.wakeReaderLocked()
+	// This interrupts a reader that is waiting for a request. It fails only if the socket is
+	// closed, in which case the reader returns as well.
 	_ = c.socket.SetReadDeadline(time.Unix(1, 0))
 }
 
-// dropBehindLocked drops what follows a request: after it, the connection ends.
-func (c *connection) dropBehindLocked(e *exchange) {
-	c.noMore = true
+// dropAfterLocked drops the requests after an exchange, because the connection ends after it.
+func (c *connection) dropAfterLocked(e *exchange) {
+	c.inputClosed = true
 	for index := range c.queue {
 		if c.queue[index] == e {
 			c.dropLocked(index + 1)
@@ -182,15 +184,15 @@
 	}
 }
 
-// dropLocked drops the requests from an index on. Those that run are cancelled.
+// dropLocked drops the requests from an index on, and cancels those that are running.
 func (c *connection) dropLocked(from int) {
 	for _, e := range c.queue[from:] {
 		e.dropped = true
 		e.cancel()
 		c.releaseLocked(e)
-		if e.state == done && e.onTurn != nil {
-			// Nothing that may block is called with the mutex held.
-			go e.report(e.behind(e.doneAt))
+		if e.state == stateDone && e.onTurn != nil {
+			// The callback may block, so it must not run with the mutex held.
+			go e.notifyTurn(e.headOfLineWait(e.completedAt))
 		}
 		if e.turn != nil {
 			close(e.turn)
@@ -201,9 +203,9 @@
 	c.queue = c.queue[:from]
 }
 
-// releaseLocked counts what a request held as free.
+// releaseLocked releases the memory charged for an exchange.
 func (c *connection) releaseLocked(e *exchange) {
-	c.server.Held.release(e.cost + e.heldBytes)
-	c.held -= e.heldBytes
-	e.cost, e.heldBytes = 0, 0
+	c.server.Held.release(e.reservedBytes + e.reservedResponseBytes)
+	c.buffered -= e.reservedResponseBytes
+	e.reservedBytes, e.reservedResponseBytes = 0, 0
 }
--- a/internal/ingress/pipeline/request.go
+++ b/internal/ingress/pipeline/request.go
@@ -15,30 +15,32 @@
 )
 
 const (
-	// mostBodyAhead is how much of a body is read before its request is served. A longer
-	// one is read by its handler, and its request runs alone.
-	mostBodyAhead = 1 << 20
-	// headerSlack is what net/http reads beyond the limit of a head; the two refuse the
-	// same heads.
+	// maxBufferedBody is how much of a request body is read before the request starts. A longer
+	// body is read by the handler, and its request runs alone.
+	maxBufferedBody = 1 << 20
+	// headerSlack is how far net/http reads beyond its header limit; using the same value makes
+	// both servers reject the same headers.
 	headerSlack = 4 << 10
-	// bodyAtOnce is how much room a body gets before anything of it has come. A longer one
-	// gets more as it comes, so that a client that only announces it takes none.
-	bodyAtOnce = 16 << 10
-	// leastLine is what must have come of a further request before it is taken for one.
-	leastLine = 4
+	// initialBodyBuffer is the memory allocated for a body before any of it has arrived. The
+	// buffer of a longer body grows with the data received, so a client that only announces a
+	// body does not occupy memory for it.
+	initialBodyBuffer = 16 << 10
+	// minRequestBytes is how many bytes must arrive after the first request before they are
+	// treated as the start of another one.
+	minRequestBytes = 4
 )
 
-// rejected is a request that is answered by the server itself, which then closes the
-// connection.
-type rejected struct {
+// requestError describes a request that the server rejects with an error status before it
+// closes the connection.
+type requestError struct {
 	status int
 	detail string
-	// old is true if the answer has to be of HTTP/1.0.
-	old bool
+	// http10 is true if the response must use HTTP/1.0.
+	http10 bool
 }
 
 // Error implements error.
-func (r *rejected) Error() string {
+func (r *requestError) Error() string {
 	text := fmt.Sprintf("%d %s", r.status, http.StatusText(r.status))
 	if r.detail != "" {
 		text += ": " + r.detail
@@ -46,127 +48,128 @@
 	return text
 }
 
-// errNoRequest means that a connection ended between two requests.
-var errNoRequest = errors.New("no request")
+// errNoRequest means that the connection ended between two requests.
+var errNoRequest = errors.New("connection ended between requests")
 
-// limitedReader reads from a connection, and while a head is read no more than a limit.
+// limitedReader reads from a connection. While limited is set, it returns io.EOF after the
+// remaining number of bytes.
 type limitedReader struct {
-	source net.Conn
-	left   int
-	head   bool
+	source    net.Conn
+	remaining int
+	limited   bool
 }
 
 // Read implements io.Reader.
-func (l *limitedReader) Read(into []byte) (int, error) {
-	if !l.head {
-		return l.source.Read(into)
+func (l *limitedReader) Read(buffer []byte) (int, error) {
+	if !l.limited {
+		return l.source.Read(buffer)
 	}
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, io.EOF
 	}
-	count, err := l.source.Read(into[:min(len(into), l.left)])
-	l.left -= count
+	count, err := l.source.Read(buffer[:min(len(buffer), l.remaining)])
+	l.remaining -= count
 	return count, err
 }
 
-// readHead reads the head of the next request.
+// readHead reads the request line and the header of the next request.
 func (c *connection) readHead(first bool) (*exchange, error) {
 	if !first {
-		if _, err := c.reader.Peek(leastLine); err != nil {
+		if _, err := c.reader.Peek(minRequestBytes); err != nil {
 			return nil, errNoRequest
 		}
 	}
-	c.input.head, c.input.left = true, c.server.HeaderBytes+headerSlack
+	c.input.limited, c.input.remaining = true, c.server.HeaderBytes+headerSlack
 	if c.afterPost {
-		c.skipLineEnds()
+		c.skipLineBreaks()
 	}
 	request, err := http.ReadRequest(c.reader)
-	c.input.head = false
+	c.input.limited = false
 	if err != nil {
-		if c.input.left <= 0 {
-			return nil, &rejected{status: http.StatusRequestHeaderFieldsTooLarge}
+		if c.input.remaining <= 0 {
+			return nil, &requestError{status: http.StatusRequestHeaderFieldsTooLarge}
 		}
 		return nil, err
 	}
 	arrivedAt := time.Now()
 	c.afterPost = request.Method == http.MethodPost
-	if err := check(request); err != nil {
+	if err := validateRequest(request); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	request.RemoteAddr = c.remote
 	return &exchange{
 		connection: c, request: request.WithContext(ctx), cancel: cancel, arrivedAt: arrivedAt,
-		header: make(http.Header), length: unknownLength, bodyRead: true, final: isFinal(request),
+		header: make(http.Header), contentLength: unknownLength, bodyRead: true, lastRequest: wantsClose(request),
 	}, nil
 }
 
-// skipLineEnds passes over the line ends that some clients send after the body of a POST.
-func (c *connection) skipLineEnds() {
-	// The error comes again when the request is read.
-	ahead, _ := c.reader.Peek(leastLine)
+// skipLineBreaks discards the line breaks that some clients send after the body of a POST.
+func (c *connection) skipLineBreaks() {
+	// An error is returned again when the request is read.
+	ahead, _ := c.reader.Peek(minRequestBytes)
 	_, _ = c.reader.Discard(len(ahead) - len(bytes.TrimLeft(ahead, "\r\n")))
 }
 
-// onlyLineEnds reports whether no more was read than line ends that are passed over. A
-// connection with nothing else is idle.
-func (c *connection) onlyLineEnds() bool {
+// onlyLineBreaks reports whether the buffer holds only line breaks that will be discarded. A
+// connection with nothing else in its buffer is idle.
+func (c *connection) onlyLineBreaks() bool {
 	count := c.reader.Buffered()
-	if !c.afterPost || count > leastLine {
+	if !c.afterPost || count > minRequestBytes {
 		return false
 	}
-	// What is buffered is there at once.
+	// The bytes are buffered, so Peek does not block.
 	ahead, _ := c.reader.Peek(count)
 	return len(bytes.TrimLeft(ahead, "\r\n")) == 0
 }
 
-// check looks at what http.ReadRequest leaves to a server.
-func check(request *http.Request) error {
+// validateRequest performs the checks that http.ReadRequest leaves to a server.
+func validateRequest(request *http.Request) error {
 	switch {
 	case request.ProtoMajor != 1:
-		return &rejected{status: http.StatusHTTPVersionNotSupported, detail: "unsupported protocol version"}
+		return &requestError{status: http.StatusHTTPVersionNotSupported, detail: "unsupported protocol version"}
 	case request.ProtoAtLeast(1, 1) && request.Host == "" && request.Method != http.MethodConnect:
-		return &rejected{status: http.StatusBadRequest, detail: "missing required Host header"}
+		return &requestError{status: http.StatusBadRequest, detail: "missing required Host header"}
 	case request.URL.Host == "" && !validHost(request.Host):
-		return &rejected{status: http.StatusBadRequest, detail: "malformed Host header"}
+		return &requestError{status: http.StatusBadRequest, detail: "malformed Host header"}
 	}
 	for name, values := range request.Header {
 		if !validName(name) {
-			return &rejected{status: http.StatusBadRequest, detail: "invalid header name"}
+			return &requestError{status: http.StatusBadRequest, detail: "invalid header name"}
 		}
 		if !validValues(values) {
-			return &rejected{status: http.StatusBadRequest, detail: "invalid header value"}
+			return &requestError{status: http.StatusBadRequest, detail: "invalid header value"}
 		}
 	}
 	expected := request.Header.Get("Expect")
 	if expected != "" && !expectsContinue(request) {
-		return &rejected{status: http.StatusExpectationFailed, old: !request.ProtoAtLeast(1, 1)}
+		return &requestError{status: http.StatusExpectationFailed, http10: !request.ProtoAtLeast(1, 1)}
 	}
 	return nil
 }
 
-// isFinal reports whether a client wants its connection to end after a request.
-func isFinal(request *http.Request) bool {
+// wantsClose reports whether the client asks to close the connection after this request.
+func wantsClose(request *http.Request) bool {
 	if request.ProtoAtLeast(1, 1) {
-		return request.Close || names(request.Header.Get("Connection"), "close")
+		return request.Close || hasToken(request.Header.Get("Connection"), "close")
 	}
-	return !names(request.Header.Get("Connection"), "keep-alive")
+	return !hasToken(request.Header.Get("Connection"), "keep-alive")
 }
 
 func expectsContinue(request *http.Request) bool {
-	return names(request.Header.Get("Expect"), "100-continue")
+	return hasToken(request.Header.Get("Expect"), "100-continue")
 }
 
-// names reports whether the value of a header has a token. It takes the value as loosely
-// as net/http's server does.
-func names(value, token string) bool {
+// hasToken reports whether a header value contains a token. It splits the value as leniently as
+// net/http's server does.
+func hasToken(value, token string) bool {
 	parts := strings.FieldsFunc(value, func(character rune) bool {
 		return character == ' ' || character == ',' || character == '\t'
 	})
 	return slices.ContainsFunc(parts, func(part string) bool { return strings.EqualFold(part, token) })
 }
 
-// validName reports whether the name of a header is a token as in RFC 9110.
+// validName reports whether a header name is a token as defined in RFC 9110.
 func validName(name string) bool {
 	for _, character := range []byte(name) {
 		letter := character|0x20 >= 'a' && character|0x20 <= 'z'
@@ -178,7 +181,7 @@
 	return name != ""
 }
 
-// validValues reports whether no value has control characters.
+// validValues reports whether none of the values contains control characters.
 func validValues(values []string) bool {
 	for _, value := range values {
 		for _, character := range []byte(value) {
@@ -190,7 +193,7 @@
 	return true
 }
 
-// validHost reports whether a host has only characters that RFC 3986 allows in one.
+// validHost reports whether a host contains only characters that RFC 3986 allows.
 func validHost(host string) bool {
 	for _, character := range []byte(host) {
 		letter := character|0x20 >= 'a' && character|0x20 <= 'z'
@@ -202,34 +205,34 @@
 	return true
 }
 
-// rejection returns the answer to what could not be read as a request; empty if the
-// client has left.
-func rejection(err error) string {
+// errorResponse returns the response to data that could not be parsed as a request; empty if
+// the client has left.
+func errorResponse(err error) string {
 	const end = "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n"
-	var refused *rejected
-	var network *net.OpError
+	var rejected *requestError
+	var netErr *net.OpError
 	switch {
-	case errors.As(err, &refused):
-		if refused.status == http.StatusExpectationFailed {
+	case errors.As(err, &rejected):
+		if rejected.status == http.StatusExpectationFailed {
 			version := "HTTP/1.1"
-			if refused.old {
+			if rejected.http10 {
 				version = "HTTP/1.0"
 			}
 			return version + " 417 Expectation Failed\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 		}
-		return "HTTP/1.1 " + refused.Error() + end + refused.Error()
-	case errors.Is(err, errNoRequest), errors.Is(err, io.EOF), errors.As(err, &network), errors.Is(err, net.ErrClosed):
+		return "HTTP/1.1 " + rejected.Error() + end + rejected.Error()
+	case errors.Is(err, errNoRequest), errors.Is(err, io.EOF), errors.As(err, &netErr), errors.Is(err, net.ErrClosed):
 		return ""
 	case strings.HasPrefix(err.Error(), "unsupported transfer encoding"), strings.HasPrefix(err.Error(), "too many transfer encodings"):
-		// net/http doesn't export the type of these.
+		// net/http does not export the error type.
 		return "HTTP/1.1 501 Not Implemented" + end + "Unsupported transfer encoding"
 	default:
 		return "HTTP/1.1 400 Bad Request" + end + "400 Bad Request"
 	}
 }
 
-// readBody reads the body of a request that was just added. A long one, and one that the
-// client sends only when asked to, is left to the handler.
+// readBody reads the body of a request that was just enqueued. A long body, or one that the
+// client sends only after 100 Continue, is left to the handler.
 func (e *exchange) readBody() {
 	request := e.request
 	if request.ContentLength == 0 {
@@ -237,35 +240,37 @@
 	}
 	source := request.Body
 	if request.ProtoAtLeast(1, 1) && expectsContinue(request) {
-		e.leaveBody(source, nil, true)
+		e.deferBody(source, nil, true)
 		return
 	}
-	if request.ContentLength > mostBodyAhead {
-		e.leaveBody(source, nil, false)
+	if request.ContentLength > maxBufferedBody {
+		e.deferBody(source, nil, false)
 		return
 	}
 	content, err := readAhead(source, request.ContentLength)
 	e.bodyBytes = len(content)
 	switch {
 	case err != nil:
-		// The handler sees the error where it reads; what follows is no request.
-		e.final = true
-		request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(content), failingReader{err}))
-	case len(content) > mostBodyAhead:
-		e.leaveBody(source, content, false)
+		// The handler gets the error when it reads the body; the data after it cannot be parsed
+		// as a request.
+		e.lastRequest = true
+		request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(content), errorReader{err}))
+	case len(content) > maxBufferedBody:
+		e.deferBody(source, content, false)
 	default:
 		request.Body = io.NopCloser(bytes.NewReader(content))
 	}
 }
 
-// readAhead reads a body, or one byte more than is read ahead.
+// readAhead reads a body of known length completely, and at most maxBufferedBody+1 bytes of a
+// chunked one.
 func readAhead(source io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
-		return io.ReadAll(io.LimitReader(source, mostBodyAhead+1))
+		return io.ReadAll(io.LimitReader(source, maxBufferedBody+1))
 	}
-	if length > bodyAtOnce {
+	if length > initialBodyBuffer {
 		var content bytes.Buffer
-		content.Grow(bodyAtOnce)
+		content.Grow(initialBodyBuffer)
 		count, err := content.ReadFrom(io.LimitReader(source, length))
 		if err == nil && count < length {
 			err = io.ErrUnexpectedEOF
@@ -277,47 +282,47 @@
 	return content[:count], err
 }
 
-type failingReader struct{ err error }
+type errorReader struct{ err error }
 
 // Read implements io.Reader.
-func (f failingReader) Read([]byte) (int, error) { return 0, f.err }
+func (r errorReader) Read([]byte) (int, error) { return 0, r.err }
 
-// leaveBody leaves a body to the handler.
-func (e *exchange) leaveBody(source io.Reader, begun []byte, asks bool) {
+// deferBody leaves the body to the handler. The prefix has already been read.
+func (e *exchange) deferBody(source io.Reader, prefix []byte, expectsContinue bool) {
 	e.bodyRead = false
-	e.body = &handlerBody{exchange: e, source: source, begun: begun, asks: asks}
+	e.body = &handlerBody{exchange: e, source: source, prefix: prefix, expectsContinue: expectsContinue}
 	e.request.Body = io.NopCloser(e.body)
 }
 
-// handlerBody is a body that is read by the handler. No further request is read before
-// its end.
+// handlerBody is a request body that the handler reads from the connection. No further request
+// is read before its end.
 type handlerBody struct {
 	exchange *exchange
 	source   io.Reader
-	// begun is what was read already.
-	begun []byte
-	// asks is true until the client was asked to send the body.
-	asks bool
+	// prefix is the part of the body that has already been read.
+	prefix []byte
+	// expectsContinue is true until 100 Continue has been sent to the client.
+	expectsContinue bool
 }
 
 // Read implements io.Reader.
-func (b *handlerBody) Read(into []byte) (int, error) {
-	if len(b.begun) > 0 {
-		count := copy(into, b.begun)
-		b.begun = b.begun[count:]
+func (b *handlerBody) Read(buffer []byte) (int, error) {
+	if len(b.prefix) > 0 {
+		count := copy(buffer, b.prefix)
+		b.prefix = b.prefix[count:]
 		return count, nil
 	}
 	c := b.exchange.connection
-	if b.asks && !b.exchange.headWritten {
-		// The request runs alone, so that its turn has come.
-		if err := c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"), streamStall); err != nil {
+	if b.expectsContinue && !b.exchange.headWritten {
+		// The request runs alone, so it is at the head of the queue and may write.
+		if err := c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"), streamStallTimeout); err != nil {
 			return 0, err
 		}
 	}
-	b.asks = false
-	count, err := b.source.Read(into)
+	b.expectsContinue = false
+	count, err := b.source.Read(buffer)
 	if err == io.EOF {
-		c.noteBody(b.exchange)
+		c.markBodyRead(b.exchange)
 	}
 	return count, err
 }
--- a/internal/ingress/pipeline/server.go
+++ b/internal/ingress/pipeline/server.go
@@ -1,8 +1,8 @@
-// Package pipeline serves clients' HTTP/1.1 connections and runs the requests of one
-// connection side by side where the handler allows it; answers go out in the order of
-// the requests. net/http reads a request only after the answer before it, so one slow
-// request delays all that were sent behind it, and a client that leaves meanwhile is not
-// noticed.
+// Package pipeline serves HTTP/1.1 client connections with pipelining: the requests of one
+// connection run concurrently where the handler allows it, and responses are written in the
+// order of the requests. net/http reads a request only after the response to the previous one,
+// so a slow request delays all requests sent after it (head-of-line blocking), and a client
+// that leaves in the meantime is not detected.
 package pipeline
 
 import (
@@ -19,47 +19,49 @@
 )
 
 const (
-	// leastAcceptPause and mostAcceptPause bound the pause after a connection could not
-	// be accepted, for example because descriptors ran out.
-	leastAcceptPause, mostAcceptPause = 5 * time.Millisecond, time.Second
-	// shutdownPause is the pause between two looks for connections that have become idle.
-	shutdownPause = 20 * time.Millisecond
+	// minAcceptBackoff and maxAcceptBackoff bound the exponential backoff after a failed
+	// accept, for example when file descriptors have run out.
+	minAcceptBackoff, maxAcceptBackoff = 5 * time.Millisecond, time.Second
+	// shutdownPollInterval is how often Shutdown checks for connections that have become idle.
+	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// Connections is told what the connections of a server do. Its methods don't block.
+// Connections tracks the state of a server's connections. Its methods do not block.
 type Connections interface {
-	// Track notes the state of a connection. StateActive says that the head of a request
-	// was read, StateIdle that all that were read are answered.
+	// Track records the state of a connection. StateActive means that the header of a request
+	// was read, StateIdle that all requests read so far have been answered.
 	Track(connection net.Conn, state http.ConnState)
-	// Reading notes that bytes of a further request were read along with the last one.
-	Reading(connection net.Conn)
-	// StopReading makes a connection read nothing more, unless bytes of a further request
-	// were read. It reports whether it did.
+	// MarkPartialRead records that data of the next request was read together with the previous
+	// request.
+	MarkPartialRead(connection net.Conn)
+	// StopReading refuses further reads on a connection, unless data of the next request has
+	// been read. It reports whether reads are now refused.
 	StopReading(connection net.Conn) bool
-	// CloseIdle ends the connections on which no request has arrived; it returns how many
-	// are left.
+	// CloseIdle closes the connections on which no request has arrived and returns the number
+	// of connections that remain open.
 	CloseIdle() int
 }
 
-// Server serves HTTP/1.1 connections. Its fields are not changed while it serves.
+// Server serves HTTP/1.1 connections. Its exported fields must not change while it serves.
 type Server struct {
 	Handler http.Handler
-	// SideBySide reports whether a request may run while others of its connection run. It
-	// doesn't block.
+	// SideBySide reports whether a request may run concurrently with others on its connection.
+	// It must not block.
 	SideBySide func(*http.Request) bool
-	// Connections is told of the connections.
+	// Connections tracks the connections' states.
 	Connections Connections
-	// HeaderBytes bounds the head of a request.
+	// HeaderBytes limits the size of a request header, including the request line.
 	HeaderBytes int
-	// Held counts what the node holds for its clients.
+	// Held accounts for the memory held on behalf of clients.
 	Held   *Held
 	Logger *zap.Logger
 
-	// unbounded logs once that the kernel takes as much as it likes.
-	unbounded sync.Once
-	workers   workers
+	// warnUnsentOnce limits the warning that unsent data could not be bounded to once per
+	// server.
+	warnUnsentOnce sync.Once
+	workerPool     workerPool
 
-	// mutex guards what follows. A connection's mutex is never taken with it held.
+	// mutex guards the fields below. A connection's mutex is never acquired while it is held.
 	mutex     sync.Mutex
 	open      map[*connection]struct{}
 	listeners []net.Listener
@@ -68,15 +70,15 @@
 
 // Serve accepts connections until the server is shut down or the listener fails.
 func (s *Server) Serve(listener net.Listener) error {
-	if !s.listen(listener) {
+	if !s.addListener(listener) {
 		return errors.CombineErrors(http.ErrServerClosed, listener.Close())
 	}
-	pause := leastAcceptPause
+	backoff := minAcceptBackoff
 	for {
 		socket, err := listener.Accept()
 		if err == nil {
-			pause = leastAcceptPause
-			s.begin(socket)
+			backoff = minAcceptBackoff
+			s.startConnection(socket)
 			continue
 		}
 		if s.isClosed() {
@@ -85,20 +87,20 @@
 		if errors.Is(err, net.ErrClosed) || !temporary(err) {
 			return errors.Wrap(err, "accept")
 		}
-		s.Logger.Warn("connection not accepted", zap.Error(err), zap.Duration("pause", pause))
-		time.Sleep(pause)
-		pause = min(2*pause, mostAcceptPause)
+		s.Logger.Warn("connection not accepted", zap.Error(err), zap.Duration("pause", backoff))
+		time.Sleep(backoff)
+		backoff = min(2*backoff, maxAcceptBackoff)
 	}
 }
 
-// temporary reports whether accepting may work again: the process or the system has too
-// many descriptors, or a client left before it was accepted.
+// temporary reports whether accepting may succeed later: the process or the system has run out
+// of file descriptors, or a client left before its connection was accepted.
 func temporary(err error) bool {
-	var failure interface{ Temporary() bool }
-	return errors.As(err, &failure) && failure.Temporary()
+	var temporaryErr interface{ Temporary() bool }
+	return errors.As(err, &temporaryErr) && temporaryErr.Temporary()
 }
 
-func (s *Server) listen(listener net.Listener) bool {
+func (s *Server) addListener(listener net.Listener) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listeners = append(s.listeners, listener)
@@ -111,16 +113,17 @@
 	return s.closed
 }
 
-func (s *Server) begin(socket net.Conn) {
-	if err := sockets.BoundUnsent(socket, mostUnsent); err != nil {
-		// It still works; the kernel takes more than it should.
-		s.unbounded.Do(func() { s.Logger.Warn("unsent bytes are not bounded", zap.Error(err)) })
+func (s *Server) startConnection(socket net.Conn) {
+	if err := sockets.LimitUnsent(socket, maxUnsent); err != nil {
+		// The connection still works, but the kernel may buffer more of its responses than
+		// intended.
+		s.warnUnsentOnce.Do(func() { s.Logger.Warn("unsent data in the kernel is not bounded", zap.Error(err)) })
 	}
 	c := newConnection(s, socket)
 	s.mutex.Lock()
 	if s.closed {
 		s.mutex.Unlock()
-		// Nothing was read from it.
+		// No request has been read from the connection.
 		_ = socket.Close()
 		return
 	}
@@ -130,36 +133,35 @@
 	s.open[c] = struct{}{}
 	s.mutex.Unlock()
 	s.Connections.Track(socket, http.StateNew)
-	go c.run()
+	go c.serve()
 }
 
-// forget notes that a connection has ended.
-func (s *Server) forget(c *connection) {
+// remove records that a connection has been closed.
+func (s *Server) remove(c *connection) {
 	s.Connections.Track(c.socket, http.StateClosed)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.open, c)
 }
 
-// Shutdown accepts no more connections, ends those that are idle, and returns when all
-// have ended or the context is done. The handler must make answers close their
-// connections.
+// Shutdown stops accepting connections, closes those that are idle, and returns when all are
+// closed or the context is done. The handler must set "Connection: close" on its responses.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.closeListeners()
-	for s.Connections.CloseIdle() > 0 || s.count() > 0 {
+	for s.Connections.CloseIdle() > 0 || s.openCount() > 0 {
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "wait for requests")
-		case <-time.After(shutdownPause):
+		case <-time.After(shutdownPollInterval):
 		}
 	}
 	return err
 }
 
-// Close ends all connections at once.
+// Close closes all connections immediately.
 func (s *Server) Close() error {
 	err := s.closeListeners()
-	s.workers.close()
+	s.workerPool.close()
 	s.mutex.Lock()
 	open := make([]*connection, 0, len(s.open))
 	for c := range s.open {
@@ -167,9 +169,9 @@
 	}
 	s.mutex.Unlock()
 	for _, c := range open {
-		// The reader of the connection sees that and ends its requests.
+		// The connection's reader fails and cancels its requests.
 		_ = c.socket.Close()
-		c.leave()
+		c.handleDisconnect()
 	}
 	return err
 }
@@ -178,17 +180,17 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
-	var failed error
+	var closeErr error
 	for _, listener := range s.listeners {
 		if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			failed = errors.CombineErrors(failed, errors.Wrap(err, "close listener"))
+			closeErr = errors.CombineErrors(closeErr, errors.Wrap(err, "close listener"))
 		}
 	}
 	s.listeners = nil
-	return failed
+	return closeErr
 }
 
-func (s *Server) count() int {
+func (s *Server) openCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.open)
--- a/internal/ingress/pipeline/server_test.go
+++ b/internal/ingress/pipeline/server_test.go
@@ -20,42 +20,42 @@
 	"github.com/micahaven/micahaven/internal/ingress/pipeline"
 )
 
-// patience bounds what a test waits for.
-const patience = 5 * time.Second
+// testTimeout bounds every wait in the tests.
+const testTimeout = 5 * time.Second
 
-// safePath begins the paths of requests that may run side by side.
+// safePath is the path prefix of requests that may run concurrently.
 const safePath = "/safe/"
 
-// served is a server and what its handler has seen.
-type served struct {
+// testServer is a server that records which requests reached its handler.
+type testServer struct {
 	*pipeline.Server
 	address string
 	limits  *ingress.ConnectionLimits
-	// begun gets the path of each request that has reached the handler.
-	begun chan string
-	// ended gets that of each request whose context has ended before its answer.
-	ended chan string
+	// started receives the path of each request that has reached the handler.
+	started chan string
+	// done receives the path of each request whose context was cancelled before its response.
+	done chan string
 
 	mutex sync.Mutex
 	gates map[string]chan struct{}
 }
 
-// serve starts a server. Its handler answers with the path and the body once the gate of
-// the path is open; paths without a gate at once.
-func serve(t *testing.T, held *pipeline.Held) *served {
+// startServer starts a server. Its handler responds with the path and the body once the path's
+// gate is open; a path without a gate is answered at once.
+func startServer(t *testing.T, held *pipeline.Held) *testServer {
 	t.Helper()
-	return serveWith(t, nil, held)
+	return startServerWith(t, nil, held)
 }
 
-// serveWith does so with another handler.
-func serveWith(t *testing.T, handler http.Handler, held *pipeline.Held) *served {
+// startServerWith starts a server with the given handler.
+func startServerWith(t *testing.T, handler http.Handler, held *pipeline.Held) *testServer {
 	t.Helper()
-	s := &served{
-		begun: make(chan string, 1000), ended: make(chan string, 1000), gates: make(map[string]chan struct{}),
+	s := &testServer{
+		started: make(chan string, 1000), done: make(chan string, 1000), gates: make(map[string]chan struct{}),
 		limits: ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute }),
 	}
 	if handler == nil {
-		handler = http.HandlerFunc(s.answer)
+		handler = http.HandlerFunc(s.handle)
 	}
 	s.Server = newServer(handler, s.limits, held)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,13 +63,13 @@
 		t.Fatal(err)
 	}
 	s.address = listener.Addr().String()
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(s.limits.Listener(listener)) }()
+	done := make(chan error, 1)
+	go func() { done <- s.Serve(s.limits.Listener(listener)) }()
 	t.Cleanup(func() {
 		if err := s.Close(); err != nil {
 			t.Error(err)
 		}
-		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+		if err := <-done; !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
 		}
 	})
@@ -83,13 +83,13 @@
 	}
 }
 
-func (s *served) answer(writer http.ResponseWriter, request *http.Request) {
+func (s *testServer) handle(writer http.ResponseWriter, request *http.Request) {
 	path := request.URL.Path
-	s.begun <- path
+	s.started <- path
 	select {
 	case <-s.gate(path):
 	case <-request.Context().Done():
-		s.ended <- path
+		s.done <- path
 		panic(http.ErrAbortHandler)
 	}
 	switch {
@@ -105,8 +105,8 @@
 	fmt.Fprintf(writer, "%s %s", path, body)
 }
 
-// gate returns what is closed when a path may be answered.
-func (s *served) gate(path string) <-chan struct{} {
+// gate returns a channel that is closed when a path may be answered.
+func (s *testServer) gate(path string) <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if gate, ok := s.gates[path]; ok {
@@ -117,8 +117,8 @@
 	return open
 }
 
-// shut makes a path wait until what it returns is called.
-func (s *served) shut(path string) (open func()) {
+// blockPath makes requests for a path wait until the returned function is called.
+func (s *testServer) blockPath(path string) (unblock func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	gate := make(chan struct{})
@@ -126,26 +126,26 @@
 	return sync.OnceFunc(func() { close(gate) })
 }
 
-// client is a client's connection.
+// client is the client side of a connection.
 type client struct {
 	net.Conn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-func (s *served) dial(t *testing.T) *client {
+func (s *testServer) dial(t *testing.T) *client {
 	t.Helper()
 	socket, err := net.Dial("tcp", s.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = socket.Close() })
-	_ = socket.SetReadDeadline(time.Now().Add(patience))
+	_ = socket.SetReadDeadline(time.Now().Add(testTimeout))
 	return &client{Conn: socket, t: t, reader: bufio.NewReader(socket)}
 }
 
-// ask sends requests for paths together.
-func (c *client) ask(paths ...string) {
+// get sends GET requests for the paths in one write.
+func (c *client) get(paths ...string) {
 	c.t.Helper()
 	var all strings.Builder
 	for _, path := range paths {
@@ -161,7 +161,7 @@
 	}
 }
 
-// read returns the next answer.
+// read returns the next response and its body.
 func (c *client) read() (*http.Response, string) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
@@ -175,93 +175,93 @@
 	return response, strings.TrimSpace(string(body))
 }
 
-// expect reads the answers to some paths, in order.
-func (c *client) expect(paths ...string) {
+// expectResponses reads one response for each path, in order.
+func (c *client) expectResponses(paths ...string) {
 	c.t.Helper()
 	for _, path := range paths {
 		if response, body := c.read(); response.StatusCode != http.StatusOK || body != path {
-			c.t.Fatalf("answer %d %q, want that to %s", response.StatusCode, body, path)
+			c.t.Fatalf("response %d %q, want that to %s", response.StatusCode, body, path)
 		}
 	}
 }
 
-// expectEnd checks that the connection ends without a further answer.
-func (c *client) expectEnd() {
+// expectClosed checks that the connection ends without a further response.
+func (c *client) expectClosed() {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.reader)
 	if len(rest) > 0 {
-		c.t.Fatalf("further bytes: %q", rest)
+		c.t.Fatalf("unexpected data: %q", rest)
 	}
-	var failure net.Error
-	if errors.As(err, &failure) && failure.Timeout() {
-		c.t.Fatal("the connection is open")
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		c.t.Fatal("the connection is still open")
 	}
 }
 
-// wait returns the next path of a channel.
-func wait(t *testing.T, paths <-chan string) string {
+// receive returns the next path from a channel.
+func receive(t *testing.T, paths <-chan string) string {
 	t.Helper()
 	select {
 	case path := <-paths:
 		return path
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("no request arrived within the timeout")
 		return ""
 	}
 }
 
-// quiet checks that no path comes for a while.
-func quiet(t *testing.T, paths <-chan string) {
+// expectNone checks that no path arrives on a channel for 100 ms.
+func expectNone(t *testing.T, paths <-chan string) {
 	t.Helper()
 	select {
 	case path := <-paths:
-		t.Fatalf("%s came", path)
+		t.Fatalf("unexpected request for %s", path)
 	case <-time.After(100 * time.Millisecond):
 	}
 }
 
-func room() *pipeline.Held { return pipeline.NewHeld(16 << 20) }
+func newBudget() *pipeline.Held { return pipeline.NewHeld(16 << 20) }
 
 func TestSafeRequestsRunBesideASlowOneAndAreAnsweredInOrder(t *testing.T) {
-	s := serve(t, room())
-	open := s.shut("/safe/slow")
+	s := startServer(t, newBudget())
+	unblock := s.blockPath("/safe/slow")
 	c := s.dial(t)
-	c.ask("/safe/slow", "/safe/1", "/safe/2")
+	c.get("/safe/slow", "/safe/1", "/safe/2")
 	seen := map[string]bool{}
 	for range 3 {
-		seen[wait(t, s.begun)] = true
+		seen[receive(t, s.started)] = true
 	}
 	if len(seen) != 3 {
-		t.Fatalf("reached the handler: %v", seen)
+		t.Fatalf("requests that reached the handler: %v, want 3", seen)
 	}
-	open()
-	c.expect("/safe/slow", "/safe/1", "/safe/2")
-	c.ask("/safe/3")
-	c.expect("/safe/3")
+	unblock()
+	c.expectResponses("/safe/slow", "/safe/1", "/safe/2")
+	c.get("/safe/3")
+	c.expectResponses("/safe/3")
 }
 
 func TestUnsafeRequestsRunAlone(t *testing.T) {
-	s := serve(t, room())
-	openFirst, openUnsafe := s.shut("/safe/first"), s.shut("/unsafe")
+	s := startServer(t, newBudget())
+	unblockFirst, unblockUnsafe := s.blockPath("/safe/first"), s.blockPath("/unsafe")
 	c := s.dial(t)
-	c.ask("/safe/first", "/unsafe", "/safe/last")
-	if path := wait(t, s.begun); path != "/safe/first" {
-		t.Fatalf("%s came first", path)
+	c.get("/safe/first", "/unsafe", "/safe/last")
+	if path := receive(t, s.started); path != "/safe/first" {
+		t.Fatalf("%s reached the handler first", path)
 	}
-	quiet(t, s.begun)
-	openFirst()
-	if path := wait(t, s.begun); path != "/unsafe" {
-		t.Fatalf("%s came second", path)
+	expectNone(t, s.started)
+	unblockFirst()
+	if path := receive(t, s.started); path != "/unsafe" {
+		t.Fatalf("%s reached the handler second", path)
 	}
-	quiet(t, s.begun)
-	openUnsafe()
-	c.expect("/safe/first", "/unsafe", "/safe/last")
+	expectNone(t, s.started)
+	unblockUnsafe()
+	c.expectResponses("/safe/first", "/unsafe", "/safe/last")
 }
 
-// Many connections at once, each with an order of its own; at no moment does an unsafe
-// request of a connection run beside another one of it.
+// Many connections run in parallel, each with its own sequence of requests. An unsafe request
+// must never run concurrently with another one of the same connection.
 func TestOrderOfManyPipelinedRequests(t *testing.T) {
-	var beside atomic.Int64
+	var overlapping atomic.Int64
 	running := make([]atomic.Int64, 20)
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		var connection, number int
@@ -269,12 +269,12 @@
 		now := running[connection].Add(1)
 		time.Sleep(time.Duration(number*7919%3) * time.Millisecond)
 		if !strings.HasPrefix(request.URL.Path, safePath) && (now > 1 || running[connection].Load() > 1) {
-			beside.Add(1)
+			overlapping.Add(1)
 		}
 		running[connection].Add(-1)
 		_, _ = io.WriteString(writer, request.URL.Query().Get("q"))
 	})
-	s := serveWith(t, handler, room())
+	s := startServerWith(t, handler, newBudget())
 	var group sync.WaitGroup
 	for connection := range running {
 		c := s.dial(t)
@@ -295,188 +295,188 @@
 				}
 				body, _ := io.ReadAll(response.Body)
 				if want := fmt.Sprintf("%d.%d", connection, number); string(body) != want {
-					t.Errorf("answer %q, want %s", body, want)
+					t.Errorf("response %q, want %s", body, want)
 				}
 			}
 		})
 	}
 	group.Wait()
-	if count := beside.Load(); count > 0 {
-		t.Fatalf("%d unsafe requests ran beside others", count)
+	if count := overlapping.Load(); count > 0 {
+		t.Fatalf("%d unsafe requests ran concurrently with others", count)
 	}
 }
 
 func TestClientThatLeavesEndsAllItsRequests(t *testing.T) {
-	s := serve(t, room())
+	s := startServer(t, newBudget())
 	paths := []string{"/safe/1", "/safe/2", "/safe/3", "/safe/4", "/safe/5"}
 	for _, path := range paths {
-		t.Cleanup(s.shut(path))
+		t.Cleanup(s.blockPath(path))
 	}
 	c := s.dial(t)
-	c.ask(append(paths, "/unsafe")...)
+	c.get(append(paths, "/unsafe")...)
 	for range paths {
-		wait(t, s.begun)
+		receive(t, s.started)
 	}
 	_ = c.Close()
 	leftAt := time.Now()
 	for range paths {
-		wait(t, s.ended)
+		receive(t, s.done)
 	}
-	if took := time.Since(leftAt); took > 500*time.Millisecond {
-		t.Errorf("noticed after %s", took)
+	if elapsed := time.Since(leftAt); elapsed > 500*time.Millisecond {
+		t.Errorf("disconnect detected after %s", elapsed)
 	}
-	quiet(t, s.begun)
+	expectNone(t, s.started)
 }
 
-// More requests than are read ahead lie unread when the client leaves.
+// The client leaves while more requests than the server reads ahead are still unread.
 func TestClientThatLeavesIsNoticedBehindUnreadBytes(t *testing.T) {
-	s := serve(t, room())
-	t.Cleanup(s.shut("/unsafe"))
+	s := startServer(t, newBudget())
+	t.Cleanup(s.blockPath("/unsafe"))
 	c := s.dial(t)
-	c.ask("/unsafe")
-	wait(t, s.begun)
+	c.get("/unsafe")
+	receive(t, s.started)
 	var behind []string
 	for range 200 {
 		behind = append(behind, "/safe/"+strings.Repeat("x", 100))
 	}
-	c.ask(behind...)
-	quiet(t, s.ended)
+	c.get(behind...)
+	expectNone(t, s.done)
 	_ = c.Close()
 	leftAt := time.Now()
-	wait(t, s.ended)
-	if took := time.Since(leftAt); took > 500*time.Millisecond {
-		t.Errorf("noticed after %s", took)
+	receive(t, s.done)
+	if elapsed := time.Since(leftAt); elapsed > 500*time.Millisecond {
+		t.Errorf("disconnect detected after %s", elapsed)
 	}
-	quiet(t, s.begun)
+	expectNone(t, s.started)
 }
 
-// As with net/http, a client that ends its side has left.
+// As with net/http, a client that closes its writing side counts as having left.
 func TestHalfClosedConnectionEndsRequests(t *testing.T) {
-	s := serve(t, room())
-	t.Cleanup(s.shut("/safe/1"))
+	s := startServer(t, newBudget())
+	t.Cleanup(s.blockPath("/safe/1"))
 	c := s.dial(t)
-	c.ask("/safe/1")
-	wait(t, s.begun)
+	c.get("/safe/1")
+	receive(t, s.started)
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
-	wait(t, s.ended)
-	c.expectEnd()
+	receive(t, s.done)
+	c.expectClosed()
 }
 
-// What was read before an answer asks for the end of the connection is still answered;
-// what was not stays unread.
+// Requests read before a response asks to close the connection are still answered; later ones
+// stay unread.
 func TestAnswerThatClosesIsTheLast(t *testing.T) {
-	s := serve(t, room())
-	open := s.shut("/safe/close")
+	s := startServer(t, newBudget())
+	unblock := s.blockPath("/safe/close")
 	c := s.dial(t)
-	c.ask("/safe/close", "/safe/1", "/unsafe")
-	wait(t, s.begun)
-	wait(t, s.begun)
-	open()
+	c.get("/safe/close", "/safe/1", "/unsafe")
+	receive(t, s.started)
+	receive(t, s.started)
+	unblock()
 	for index, path := range []string{"/safe/close", "/safe/1", "/unsafe"} {
 		response, body := c.read()
 		if body != path || response.Close != (index == 2) {
-			t.Fatalf("answer %q, closes: %t", body, response.Close)
+			t.Fatalf("response %q, closes the connection: %t", body, response.Close)
 		}
 	}
-	c.expectEnd()
+	c.expectClosed()
 }
 
-// A request of which some bytes were read when an answer asks for the end is not cut off:
-// its client could not know that it never ran.
+// A request that has been partly read when a response asks to close the connection must be
+// answered, because its client could not know that it was never executed.
 func TestAnswerThatClosesWaitsForARequestThatIsBeingRead(t *testing.T) {
-	s := serve(t, room())
-	open := s.shut("/safe/close")
+	s := startServer(t, newBudget())
+	unblock := s.blockPath("/safe/close")
 	c := s.dial(t)
-	c.ask("/safe/close")
-	wait(t, s.begun)
+	c.get("/safe/close")
+	receive(t, s.started)
 	c.send("GET /unsafe/close HTTP/1.1\r\nHo")
-	quiet(t, s.begun)
-	open()
+	expectNone(t, s.started)
+	unblock()
 	if response, body := c.read(); body != "/safe/close" || response.Close {
-		t.Fatalf("answer %q, closes: %t", body, response.Close)
+		t.Fatalf("response %q, closes the connection: %t", body, response.Close)
 	}
 	c.send("st: h\r\n\r\n")
 	if response, body := c.read(); body != "/unsafe/close" || !response.Close {
-		t.Fatalf("answer %q, closes: %t", body, response.Close)
+		t.Fatalf("response %q, closes the connection: %t", body, response.Close)
 	}
-	c.expectEnd()
+	c.expectClosed()
 }
 
 func TestNothingRunsAfterAnAnswerThatCloses(t *testing.T) {
-	s := serve(t, room())
+	s := startServer(t, newBudget())
 	c := s.dial(t)
-	c.ask("/close")
-	wait(t, s.begun)
+	c.get("/close")
+	receive(t, s.started)
 	if response, _ := c.read(); !response.Close {
-		t.Fatal("the answer does not close")
+		t.Fatal("the response does not close the connection")
 	}
 	_, _ = io.WriteString(c, "GET /unsafe HTTP/1.1\r\nHost: h\r\n\r\n")
-	c.expectEnd()
-	quiet(t, s.begun)
+	c.expectClosed()
+	expectNone(t, s.started)
 }
 
 func TestClientsOwnCloseEndsTheConnection(t *testing.T) {
-	s := serve(t, room())
+	s := startServer(t, newBudget())
 	c := s.dial(t)
 	c.send("GET /safe/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\nGET /safe/2 HTTP/1.1\r\nHost: h\r\n\r\n")
-	c.expect("/safe/1")
-	c.expectEnd()
-	if path := wait(t, s.begun); path != "/safe/1" {
+	c.expectResponses("/safe/1")
+	c.expectClosed()
+	if path := receive(t, s.started); path != "/safe/1" {
 		t.Fatal(path)
 	}
-	quiet(t, s.begun)
+	expectNone(t, s.started)
 }
 
 func TestBrokenOffAnswerEndsTheConnection(t *testing.T) {
-	s := serve(t, room())
-	t.Cleanup(s.shut("/safe/behind"))
-	open := s.shut("/safe/abort")
+	s := startServer(t, newBudget())
+	t.Cleanup(s.blockPath("/safe/behind"))
+	unblock := s.blockPath("/safe/abort")
 	c := s.dial(t)
-	c.ask("/safe/first", "/safe/abort", "/safe/behind", "/unsafe")
+	c.get("/safe/first", "/safe/abort", "/safe/behind", "/unsafe")
 	for range 3 {
-		wait(t, s.begun)
+		receive(t, s.started)
 	}
-	open()
-	c.expect("/safe/first")
-	c.expectEnd()
-	if path := wait(t, s.ended); path != "/safe/behind" {
+	unblock()
+	c.expectResponses("/safe/first")
+	c.expectClosed()
+	if path := receive(t, s.done); path != "/safe/behind" {
 		t.Fatal(path)
 	}
-	quiet(t, s.begun)
+	expectNone(t, s.started)
 }
 
 func TestStoppingServerAnswersWhatItHasRead(t *testing.T) {
-	s := serve(t, room())
-	open := s.shut("/safe/slow")
+	s := startServer(t, newBudget())
+	unblock := s.blockPath("/safe/slow")
 	busy, idle := s.dial(t), s.dial(t)
-	busy.ask("/safe/slow", "/safe/1", "/unsafe")
-	idle.ask("/safe/2")
-	idle.expect("/safe/2")
+	busy.get("/safe/slow", "/safe/1", "/unsafe")
+	idle.get("/safe/2")
+	idle.expectResponses("/safe/2")
 	for range 3 {
-		wait(t, s.begun)
-	}
-	ended := make(chan error, 1)
-	go func() { ended <- s.Shutdown(context.Background()) }()
-	idle.expectEnd()
-	open()
-	busy.expect("/safe/slow", "/safe/1", "/unsafe")
-	busy.expectEnd()
+		receive(t, s.started)
+	}
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- s.Shutdown(context.Background()) }()
+	idle.expectClosed()
+	unblock()
+	busy.expectResponses("/safe/slow", "/safe/1", "/unsafe")
+	busy.expectClosed()
 	select {
-	case err := <-ended:
+	case err := <-shutdownErr:
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
-		t.Fatal("does not stop")
+	case <-time.After(testTimeout):
+		t.Fatal("Shutdown does not return")
 	}
 }
 
 func TestStoppingServerGivesUpAtItsLimit(t *testing.T) {
-	s := serve(t, room())
-	t.Cleanup(s.shut("/safe/slow"))
+	s := startServer(t, newBudget())
+	t.Cleanup(s.blockPath("/safe/slow"))
 	c := s.dial(t)
-	c.ask("/safe/slow")
-	wait(t, s.begun)
+	c.get("/safe/slow")
+	receive(t, s.started)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if err := s.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
@@ -485,36 +485,36 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, s.ended)
-	c.expectEnd()
+	receive(t, s.done)
+	c.expectClosed()
 }
 
 func TestOneConnectionReadsABoundedNumberAhead(t *testing.T) {
-	s := serve(t, room())
+	s := startServer(t, newBudget())
 	var paths []string
 	for index := range 40 {
 		path := fmt.Sprintf("/safe/%d", index)
 		paths = append(paths, path)
-		t.Cleanup(s.shut(path))
+		t.Cleanup(s.blockPath(path))
 	}
 	c := s.dial(t)
-	c.ask(paths...)
+	c.get(paths...)
 	for range 16 {
-		wait(t, s.begun)
+		receive(t, s.started)
 	}
-	quiet(t, s.begun)
+	expectNone(t, s.started)
 }
 
-// Without room one request of each connection is still served at a time.
+// With an exhausted memory budget, each connection is still served one request at a time.
 func TestWithoutRoomRequestsAreReadOneByOne(t *testing.T) {
-	s := serve(t, pipeline.NewHeld(0))
-	open := s.shut("/safe/slow")
+	s := startServer(t, pipeline.NewHeld(0))
+	unblock := s.blockPath("/safe/slow")
 	c := s.dial(t)
-	c.ask("/safe/slow", "/safe/1")
-	wait(t, s.begun)
-	quiet(t, s.begun)
-	open()
-	c.expect("/safe/slow", "/safe/1")
+	c.get("/safe/slow", "/safe/1")
+	receive(t, s.started)
+	expectNone(t, s.started)
+	unblock()
+	c.expectResponses("/safe/slow", "/safe/1")
 }
 
 func TestBodies(t *testing.T) {
@@ -526,7 +526,7 @@
 		"long and chunked": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, room())
+			s := startServer(t, newBudget())
 			c := s.dial(t)
 			go func() {
 				_, _ = io.WriteString(c.Conn, "POST /safe/x HTTP/1.1\r\nHost: h\r\n"+request+"GET /safe/2 HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -536,96 +536,96 @@
 				want = "/safe/x " + long
 			}
 			if _, body := c.read(); body != want {
-				t.Fatalf("%d bytes, want %d", len(body), len(want))
+				t.Fatalf("received %d bytes, want %d", len(body), len(want))
 			}
-			c.expect("/safe/2")
+			c.expectResponses("/safe/2")
 		})
 	}
 }
 
 func TestClientIsAskedForItsBody(t *testing.T) {
-	s := serve(t, room())
-	open := s.shut("/safe/slow")
+	s := startServer(t, newBudget())
+	unblock := s.blockPath("/safe/slow")
 	c := s.dial(t)
-	c.ask("/safe/slow")
+	c.get("/safe/slow")
 	c.send("POST /safe/x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
-	wait(t, s.begun)
-	open()
-	c.expect("/safe/slow")
+	receive(t, s.started)
+	unblock()
+	c.expectResponses("/safe/slow")
 	if response, _ := c.read(); response.StatusCode != http.StatusContinue {
 		t.Fatalf("status %d", response.StatusCode)
 	}
 	c.send("hello")
-	c.ask("/safe/2")
-	c.expect("/safe/x hello", "/safe/2")
+	c.get("/safe/2")
+	c.expectResponses("/safe/x hello", "/safe/2")
 }
 
 func TestWaitBehindEarlierAnswersIsTold(t *testing.T) {
 	const pause = 100 * time.Millisecond
-	told := make(chan time.Duration, 3)
+	reported := make(chan time.Duration, 3)
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/safe/slow" {
 			time.Sleep(pause)
 		}
-		pipeline.OnTurn(writer, func(behind time.Duration) { told <- behind })
+		pipeline.OnTurn(writer, func(wait time.Duration) { reported <- wait })
 		content := make([]byte, 10)
 		if request.URL.Path == "/safe/long" {
 			content = make([]byte, 100<<10)
 		}
 		_, _ = writer.Write(content)
 	})
-	s := serveWith(t, handler, room())
+	s := startServerWith(t, handler, newBudget())
 	c := s.dial(t)
-	c.ask("/safe/slow", "/safe/short", "/safe/long")
+	c.get("/safe/slow", "/safe/short", "/safe/long")
 	for index := range 3 {
-		behind := <-told
-		if waited := behind > pause/2; waited != (index > 0) {
-			t.Errorf("answer %d waited %s", index, behind)
+		wait := <-reported
+		if waited := wait > pause/2; waited != (index > 0) {
+			t.Errorf("response %d waited %s", index, wait)
 		}
 	}
 }
 
-// A request counts from when it was read, not from its turn.
+// The arrival time of a request is when it was read, not when it started.
 func TestArrivalIsWhenTheRequestWasRead(t *testing.T) {
 	const pause = 100 * time.Millisecond
 	waited := make(chan time.Duration, 2)
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		waited <- time.Since(pipeline.Arrival(writer))
+		waited <- time.Since(pipeline.ArrivalTime(writer))
 		time.Sleep(pause)
 	})
-	s := serveWith(t, handler, room())
-	s.dial(t).ask("/unsafe", "/unsafe")
+	s := startServerWith(t, handler, newBudget())
+	s.dial(t).get("/unsafe", "/unsafe")
 	if first, second := <-waited, <-waited; first > pause/2 || second < pause/2 {
 		t.Errorf("%s and %s have passed since the requests were read", first, second)
 	}
 }
 
-// A server that is closed, or an answer that is broken off, ends a connection whose body
-// was left to a handler that never began.
+// Closing the server or aborting a response must end a connection even if a body was left to a
+// handler that never started.
 func TestBodyThatIsNeverReadDoesNotKeepTheConnection(t *testing.T) {
-	s := serve(t, room())
-	open := s.shut("/safe/abort")
+	s := startServer(t, newBudget())
+	unblock := s.blockPath("/safe/abort")
 	c := s.dial(t)
-	c.ask("/safe/abort")
+	c.get("/safe/abort")
 	c.send("POST /unsafe HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
-	wait(t, s.begun)
-	quiet(t, s.begun)
-	open()
-	c.expectEnd()
+	receive(t, s.started)
+	expectNone(t, s.started)
+	unblock()
+	c.expectClosed()
 	if err := s.Shutdown(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The reader of a connection may learn only after the answer that a handler has read the
-// body of its request.
+// The reader of a connection may learn only after the response that the handler has read the
+// request body. The response must announce the end of the connection regardless.
 func TestAnswerThatClosesSaysSoAfterABodyThatItsHandlerRead(t *testing.T) {
 	const rounds = 500
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		writer.Header().Set("Connection", "close")
 	})
-	s := serveWith(t, handler, room())
+	s := startServerWith(t, handler, newBudget())
 	kept := 0
 	for range rounds {
 		c := s.dial(t)
@@ -638,26 +638,27 @@
 		_ = c.Close()
 	}
 	if kept > 0 {
-		t.Errorf("%d of %d answers do not ask for another connection", kept, rounds)
+		t.Errorf("%d of %d responses do not announce the end of the connection", kept, rounds)
 	}
 }
 
-// An answer whose end is that of the connection looks whole if the connection just ends.
+// A response delimited by the end of the connection looks complete if the connection is closed
+// normally, so an aborted one must end in a reset.
 func TestBrokenOffAnswerWithoutALengthIsNotTakenForWhole(t *testing.T) {
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = writer.Write(make([]byte, 4<<10))
 		panic(http.ErrAbortHandler)
 	})
-	s := serveWith(t, handler, room())
+	s := startServerWith(t, handler, newBudget())
 	c := s.dial(t)
 	c.send("GET /safe/x HTTP/1.0\r\n\r\n")
 	if _, err := io.ReadAll(c.reader); err == nil {
-		t.Fatal("the client can't tell that the rest is missing")
+		t.Fatal("the client can't tell that the response is truncated")
 	}
 }
 
-// What a client sends after a connection was closed makes the kernel reset it and drop what
-// it has not sent yet of the last answer.
+// Data that a client sends after the server has closed the connection causes the kernel to
+// reset it, which discards the unsent part of the last response.
 func TestLastAnswerArrivesAlthoughItsClientSendsMore(t *testing.T) {
 	const size = 96 << 10
 	answered := make(chan struct{})
@@ -666,25 +667,25 @@
 		writer.Header().Set("Connection", "close")
 		_, _ = writer.Write(make([]byte, size))
 	})
-	s := serveWith(t, handler, room())
-	c := dialNarrow(t, s, 16<<10)
-	c.ask("/safe/x")
+	s := startServerWith(t, handler, newBudget())
+	c := dialSmallBuffer(t, s, 16<<10)
+	c.get("/safe/x")
 	<-answered
-	// The server closes the connection within this time if it doesn't wait.
+	// A server that does not linger closes the connection within this time.
 	time.Sleep(50 * time.Millisecond)
-	c.ask("/safe/behind")
+	c.get("/safe/behind")
 	time.Sleep(50 * time.Millisecond)
 	if _, body := c.read(); len(body) != size {
-		t.Fatalf("%d bytes came, want %d", len(body), size)
+		t.Fatalf("received %d bytes, want %d", len(body), size)
 	}
 }
 
-// Line ends that some clients send after the body of a POST are no part of a request.
+// Line breaks that some clients send after the body of a POST are not part of a request.
 func TestLineEndsAfterAPostDoNotKeepAStoppingServer(t *testing.T) {
-	s := serve(t, room())
+	s := startServer(t, newBudget())
 	c := s.dial(t)
 	c.send("POST /unsafe HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx\r\n")
-	c.expect("/unsafe x")
+	c.expectResponses("/unsafe x")
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	if err := s.Shutdown(ctx); err != nil {
@@ -692,12 +693,12 @@
 	}
 }
 
-// An answer that ends the connection says so behind such line ends too.
+// Such line breaks must not keep a response from announcing the end of the connection.
 func TestAnswerThatClosesSaysSoBehindLineEnds(t *testing.T) {
-	s := serve(t, room())
+	s := startServer(t, newBudget())
 	c := s.dial(t)
 	c.send("POST /close HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx\r\n")
 	if response, _ := c.read(); !response.Close {
-		t.Error("the answer keeps the connection")
+		t.Error("the response does not close the connection")
 	}
 }
--- a/internal/ingress/pipeline/workers.go
+++ b/internal/ingress/pipeline/workers.go
@@ -2,20 +2,21 @@
 
 import "sync"
 
-// mostIdleWorkers is how many goroutines are kept for requests to come. A node serves fewer
-// at once most of the time, and each keeps some 16 KB of stack.
-const mostIdleWorkers = 32
+// maxIdleWorkers is the number of idle goroutines kept for later requests. A node usually
+// serves fewer requests at a time, and each goroutine keeps about 16 KB of stack.
+const maxIdleWorkers = 32
 
-// workers runs requests. It keeps goroutines for further ones, because growing the stack of
-// a new goroutine costs an eighth of the processor time of a short request.
-type workers struct {
+// workerPool runs requests on reusable goroutines, because growing the stack of a new goroutine
+// costs an eighth of the processor time of a short request.
+type workerPool struct {
 	mutex  sync.Mutex
 	idle   []chan *exchange
 	closed bool
 }
 
-// run runs a request on a goroutine of its own. It does not block.
-func (w *workers) run(e *exchange) {
+// run executes a request on an idle goroutine, or on a new one if none is idle. It does not
+// block.
+func (w *workerPool) run(e *exchange) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if last := len(w.idle) - 1; last >= 0 {
@@ -24,35 +25,35 @@
 		next <- e
 		return
 	}
-	go w.work(e)
+	go w.loop(e)
 }
 
-// work runs requests as long as the goroutine is kept.
-func (w *workers) work(e *exchange) {
-	// One request fits in, so that whoever sends it does not wait.
+// loop executes requests until the goroutine is no longer needed.
+func (w *workerPool) loop(e *exchange) {
+	// The buffer of one ensures that run does not block.
 	next := make(chan *exchange, 1)
 	for e != nil {
 		e.connection.handle(e)
-		if !w.keep(next) {
+		if !w.park(next) {
 			return
 		}
 		e = <-next
 	}
 }
 
-// keep takes a goroutine back that has nothing to do. It reports false if it is not needed.
-func (w *workers) keep(next chan *exchange) bool {
+// park returns a goroutine to the pool. It reports false if the goroutine is not needed.
+func (w *workerPool) park(next chan *exchange) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.closed || len(w.idle) >= mostIdleWorkers {
+	if w.closed || len(w.idle) >= maxIdleWorkers {
 		return false
 	}
 	w.idle = append(w.idle, next)
 	return true
 }
 
-// close ends the goroutines that have nothing to do.
-func (w *workers) close() {
+// close ends the idle goroutines.
+func (w *workerPool) close() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.closed = true
--- a/internal/ingress/tenancy.go
+++ b/internal/ingress/tenancy.go
@@ -15,34 +15,35 @@
 	"github.com/micahaven/micahaven/internal/upstream"
 )
 
-// Quotas keep what tenants use within their limits.
+// Quotas enforces the request limits of tenants.
 type Quotas interface {
 	Admit(ctx context.Context, tenant string, limit tenants.Limit) quota.Decision
-	// GiveBack tells that a request that was admitted did not run.
+	// GiveBack returns the quota of an admitted request that was not executed.
 	GiveBack(tenant string)
 }
 
-// Tenancy is what the handler decides by of tenants' requests.
+// Tenancy holds what the handler needs to authorize and limit requests of tenants.
 type Tenancy struct {
 	Quotas Quotas
-	// Freshness returns how new the node's copy of the configuration is.
+	// Freshness returns the age of the node's copy of the configuration and whether it is
+	// confirmed.
 	Freshness func() tenants.Freshness
 	Staleness tenants.Staleness
 }
 
-// alwaysFresh decides by the configuration alone.
-func alwaysFresh() Tenancy {
+// defaultTenancy authorizes by the configuration alone and enforces no quotas.
+func defaultTenancy() Tenancy {
 	return Tenancy{
 		Freshness: func() tenants.Freshness { return tenants.Freshness{Confirmed: true} },
 		Staleness: tenants.Staleness{Unknown: time.Hour},
 	}
 }
 
-// SetTenancy sets what is decided by. It must be called before the first request.
+// SetTenancy replaces the default tenancy. It must be called before the first request.
 func (h *Handler) SetTenancy(tenancy Tenancy) { h.tenancy = tenancy }
 
-// authorize finds whose request it is by the key that it shows. If it may not go on it is
-// answered, and the result is false.
+// authorize identifies the tenant of a request by its API key. If the request is not
+// authorized, authorize writes the response and returns false.
 func (h *Handler) authorize(writer http.ResponseWriter, incoming *http.Request, table *routing.Table, route *routing.Route) (*tenants.Tenant, bool) {
 	if table.Tenants().Empty() {
 		return nil, true
@@ -54,7 +55,7 @@
 	case tenants.Anonymous, tenants.Known:
 		return tenant, true
 	case tenants.CopyOld:
-		refuse(writer, http.StatusServiceUnavailable, "this node has not heard for a while which keys are in force", notReadyRetry)
+		writeRefusal(writer, http.StatusServiceUnavailable, "this node has not heard for a while which keys are in force", notReadyRetryAfter)
 	default:
 		http.Error(writer, verdict.String(), http.StatusUnauthorized)
 	}
@@ -64,43 +65,44 @@
 	return nil, false
 }
 
-// admit decides whether a tenant's request is within the tenant's limit. If it is not it is
-// answered, and the result is false.
+// admit checks a request against its tenant's limit. If the limit is exceeded, admit writes the
+// response and returns false.
 func (h *Handler) admit(writer http.ResponseWriter, incoming *http.Request, request *dispatch.Request, tenant *tenants.Tenant) bool {
 	if tenant == nil || h.tenancy.Quotas == nil {
 		return true
 	}
 	ctx, cancel := context.WithDeadline(incoming.Context(), request.Deadline)
 	defer cancel()
-	askedAt := time.Now()
+	startedAt := time.Now()
 	decision := h.tenancy.Quotas.Admit(ctx, tenant.Name, tenant.Limit)
 	if decision.Admitted {
 		return true
 	}
-	h.logger.Info("request beyond its tenant's limit", zap.String("request", request.ID), zap.String("tenant", tenant.Name),
+	h.logger.Info("request exceeds its tenant's limit", zap.String("request", request.ID), zap.String("tenant", tenant.Name),
 		zap.Float64("rate", tenant.Limit.Rate), zap.Float64("burst", tenant.Limit.Burst), zap.String("detail", decision.Detail),
-		zap.Duration("come_back", decision.RetryAfter), zap.Duration("decided_in", time.Since(askedAt)))
+		zap.Duration("come_back", decision.RetryAfter), zap.Duration("decided_in", time.Since(startedAt)))
 	h.closeIfDraining(writer)
-	refuse(writer, http.StatusTooManyRequests, decision.Detail, decision.RetryAfter)
+	writeRefusal(writer, http.StatusTooManyRequests, decision.Detail, decision.RetryAfter)
 	return false
 }
 
-// giveBack tells the tenant's account of a request that did not run.
-func (h *Handler) giveBack(tenant *tenants.Tenant, err error) {
+// refundQuota returns a request that was not executed to its tenant's quota.
+func (h *Handler) refundQuota(tenant *tenants.Tenant, err error) {
 	if tenant != nil && h.tenancy.Quotas != nil && errors.Is(err, dispatch.ErrNotExecuted) {
 		h.tenancy.Quotas.GiveBack(tenant.Name)
 	}
 }
 
-// withTenant adds the name of the tenant, for servers.
-func (h *Handler) withTenant(fields []upstream.Field, tenant *tenants.Tenant) []upstream.Field {
+// appendTenantHeader adds the header that tells servers the tenant's name.
+func (h *Handler) appendTenantHeader(fields []upstream.Field, tenant *tenants.Tenant) []upstream.Field {
 	if tenant == nil {
 		return fields
 	}
 	return append(fields, upstream.Field{Name: h.headers.Tenant, Value: tenant.Name})
 }
 
-// priorityOf returns the rank of a request: its tenant's, or else its route's.
+// priorityOf returns the priority of a request: that of its tenant if set, otherwise that of
+// its route.
 func priorityOf(route *routing.Route, tenant *tenants.Tenant) int {
 	if tenant != nil && tenant.Priority != nil {
 		return *tenant.Priority
--- a/internal/sockets/left_test.go
+++ b/internal/sockets/peer_closed_test.go
@@ -27,16 +27,16 @@
 	if _, err := peer.Write([]byte("unread")); err != nil {
 		t.Fatal(err)
 	}
-	// The bytes cross the loopback device within this time.
+	// Loopback delivery takes less than this.
 	time.Sleep(50 * time.Millisecond)
-	if sockets.Left(socket) {
-		t.Fatal("an open connection is taken as left")
+	if sockets.PeerClosed(socket) {
+		t.Fatal("an open connection is reported as closed by the peer")
 	}
 	if err := peer.Close(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if !sockets.Left(socket) {
-		t.Fatal("the end is not seen")
+	if !sockets.PeerClosed(socket) {
+		t.Fatal("the close of the peer is not detected")
 	}
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,6 @@
-// Package sockets asks the kernel about TCP connections: whether there is anything
-// to read, and what the peer has not acknowledged yet.
+// Package sockets provides TCP socket operations that the net package lacks: non-blocking
+// checks for unread data, for a closed peer and for unacknowledged bytes, and socket options
+// that bound unsent data and peer silence.
 package sockets
 
 import (
@@ -11,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet reports whether a connection is open and has nothing to read. It takes a
-// connection that has no descriptor as quiet.
+// Quiet reports whether a connection is open and has no unread data. A connection without a
+// file descriptor is reported as quiet.
 func Quiet(socket net.Conn) bool {
 	raw, ok := socket.(syscall.Conn)
 	if !ok {
@@ -22,19 +23,19 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	idle := false
 	var peeked [1]byte
-	// Control takes no lock, so that another goroutine may be reading meanwhile.
+	// Control takes no lock on the descriptor, so another goroutine may be blocked in a read.
 	err = control.Control(func(descriptor uintptr) {
-		_, _, received := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = received == unix.EAGAIN
+		_, _, recvErr := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		idle = recvErr == unix.EAGAIN
 	})
-	return err == nil && silent
+	return err == nil && idle
 }
 
-// Left reports whether the peer of a connection has closed its side or the connection has
-// failed, also if bytes that the peer sent before lie unread.
-func Left(socket net.Conn) bool {
+// PeerClosed reports whether the peer has closed its side of the connection or the connection has
+// failed, even if data that the peer sent earlier is still unread.
+func PeerClosed(socket net.Conn) bool {
 	raw, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
@@ -43,40 +44,40 @@
 	if err != nil {
 		return true
 	}
-	left := false
+	closed := false
 	err = control.Control(func(descriptor uintptr) {
-		asked := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
-		count, failed := unix.Poll(asked, 0)
-		left = failed == nil && count > 0
+		descriptors := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
+		count, pollErr := unix.Poll(descriptors, 0)
+		closed = pollErr == nil && count > 0
 	})
-	return err != nil || left
+	return err != nil || closed
 }
 
-// Read reads from a connection as net.Conn's Read does, but calls around with what
-// makes one attempt that does not wait, so that the caller can hold a lock while
-// bytes are taken and not while they are waited for.
-func Read(socket net.Conn, into []byte, around func(attempt func() (int, error)) (int, error)) (int, error) {
+// Read behaves like net.Conn's Read, but passes each non-blocking read attempt to locked. The
+// caller can thus hold a lock while data is copied out of the socket without holding it while
+// waiting for data.
+func Read(socket net.Conn, buffer []byte, locked func(attempt func() (int, error)) (int, error)) (int, error) {
 	raw, ok := socket.(syscall.Conn)
-	if !ok || len(into) == 0 {
-		return socket.Read(into)
+	if !ok || len(buffer) == 0 {
+		return socket.Read(buffer)
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	var count int
-	var failed error
-	// The error of Read tells of a deadline or of a closed connection, as that of
-	// net.Conn does; net/http compares it.
+	var readErr error
+	// The error of RawConn.Read reports an expired deadline or a closed connection in the same
+	// way as net.Conn does; net/http compares these errors.
 	err = control.Read(func(descriptor uintptr) bool {
-		count, failed = around(func() (int, error) { return attemptRead(int(descriptor), into) })
-		return failed != unix.EAGAIN
+		count, readErr = locked(func() (int, error) { return tryRead(int(descriptor), buffer) })
+		return readErr != unix.EAGAIN
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case failed != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: socket.LocalAddr(), Addr: socket.RemoteAddr(), Err: failed}
+	case readErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: socket.LocalAddr(), Addr: socket.RemoteAddr(), Err: readErr}
 	case count == 0:
 		return 0, io.EOF
 	default:
@@ -84,10 +85,10 @@
 	}
 }
 
-// attemptRead reads what is there, or returns EAGAIN.
-func attemptRead(descriptor int, into []byte) (int, error) {
+// tryRead reads the available data, or returns EAGAIN if there is none.
+func tryRead(descriptor int, buffer []byte) (int, error) {
 	for {
-		count, err := unix.Read(descriptor, into)
+		count, err := unix.Read(descriptor, buffer)
 		if err == unix.EINTR {
 			continue
 		}
@@ -95,45 +96,46 @@
 	}
 }
 
-// BoundUnsent makes a connection take no more than some bytes that it can't send yet, so
-// that what a peer doesn't read stays with the writer and not in the kernel.
-func BoundUnsent(socket net.Conn, count int) error {
+// LimitUnsent sets TCP_NOTSENT_LOWAT: the kernel accepts at most limit bytes that it can't send
+// yet. Data that a peer does not read then stays with the writer instead of filling kernel
+// buffers.
+func LimitUnsent(socket net.Conn, limit int) error {
 	raw, ok := socket.(syscall.Conn)
 	if !ok {
-		return errors.New("connection has no descriptor")
+		return errors.New("connection has no file descriptor")
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
-		return errors.Wrap(err, "reach descriptor")
+		return errors.Wrap(err, "access file descriptor")
 	}
-	var failed error
+	var optionErr error
 	err = control.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, count)
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, limit)
 	})
 	if err != nil {
-		return errors.Wrap(err, "reach descriptor")
+		return errors.Wrap(err, "access file descriptor")
 	}
-	return errors.Wrap(failed, "bound unsent bytes")
+	return errors.Wrap(optionErr, "limit unsent data")
 }
 
-// Unacknowledged returns how many bytes that were written to a connection its
-// peer has not acknowledged yet.
+// Unacknowledged returns the number of bytes written to a connection that its peer has not
+// acknowledged.
 func Unacknowledged(socket net.Conn) (int, error) {
 	raw, ok := socket.(syscall.Conn)
 	if !ok {
-		return 0, errors.New("connection has no descriptor")
+		return 0, errors.New("connection has no file descriptor")
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
-		return 0, errors.Wrap(err, "reach descriptor")
+		return 0, errors.Wrap(err, "access file descriptor")
 	}
-	queued := 0
-	var asked error
+	unacknowledged := 0
+	var ioctlErr error
 	err = control.Control(func(descriptor uintptr) {
-		queued, asked = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
+		unacknowledged, ioctlErr = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
 	})
 	if err != nil {
-		return 0, errors.Wrap(err, "reach descriptor")
+		return 0, errors.Wrap(err, "access file descriptor")
 	}
-	return queued, errors.Wrap(asked, "ask for unacknowledged bytes")
+	return unacknowledged, errors.Wrap(ioctlErr, "query unacknowledged bytes")
 }
