--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -19,7 +19,7 @@
 // errReadStopped is returned by reads after StopReading.
 var errReadStopped = errors.New("reading from the connection was stopped")
 
-// ConnectionLimits closes client connections that exceed the idle timeout or the timeout for
+// ConnectionTracker closes client connections that exceed the idle timeout or the timeout for
 // receiving a request header. The timeouts may change at any time.
 //
 // Invariant: a connection is never closed while a request that has arrived on it is unread, or
@@ -28,21 +28,21 @@
 // data and closing. Timeouts based on the connection state alone do not keep it: on a loaded
 // machine, some time may pass between the arrival of a request and the moment at which its
 // connection becomes active.
-type ConnectionLimits struct {
+type ConnectionTracker struct {
 	timeouts func() (idle, header time.Duration)
 
 	mutex sync.Mutex
 	open  map[*trackedConnection]struct{}
 }
 
-// NewConnectionLimits returns limits that call timeouts on every check; zero disables a
+// NewConnectionTracker returns a tracker that calls timeouts on every check; zero disables a
 // timeout.
-func NewConnectionLimits(timeouts func() (idle, header time.Duration)) *ConnectionLimits {
-	return &ConnectionLimits{timeouts: timeouts, open: make(map[*trackedConnection]struct{})}
+func NewConnectionTracker(timeouts func() (idle, header time.Duration)) *ConnectionTracker {
+	return &ConnectionTracker{timeouts: timeouts, open: make(map[*trackedConnection]struct{})}
 }
 
-// Listener wraps a listener so that the connections it accepts are subject to the limits.
-func (l *ConnectionLimits) Listener(inner net.Listener) net.Listener {
+// Listener wraps a listener so that the tracker covers the connections it accepts.
+func (l *ConnectionTracker) Listener(inner net.Listener) net.Listener {
 	return &trackedListener{inner}
 }
 
@@ -140,7 +140,7 @@
 
 // MarkPartialRead records that data of the next request was read together with the previous
 // request.
-func (l *ConnectionLimits) MarkPartialRead(connection net.Conn) {
+func (l *ConnectionTracker) MarkPartialRead(connection net.Conn) {
 	tracked, ok := connection.(*trackedConnection)
 	if !ok {
 		return
@@ -153,7 +153,7 @@
 // StopReading refuses further reads on a connection, unless part of the next request has
 // already been read. It reports whether reads are now refused. Data that the client sends
 // afterwards stays unread, which tells the client that those requests were not executed.
-func (l *ConnectionLimits) StopReading(connection net.Conn) bool {
+func (l *ConnectionTracker) StopReading(connection net.Conn) bool {
 	tracked, ok := connection.(*trackedConnection)
 	if !ok {
 		return false
@@ -184,7 +184,7 @@
 func (c *trackedConnection) markForClose(expired func(stateSince time.Time, partialRead bool) bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.active || !expired(c.stateSince, c.partialRead) || !sockets.Quiet(c.Conn) {
+	if c.active || !expired(c.stateSince, c.partialRead) || !sockets.IsIdle(c.Conn) {
 		return false
 	}
 	c.markedForClose = true
@@ -192,7 +192,7 @@
 }
 
 // Track updates the state of a connection. It can serve as http.Server's ConnState callback.
-func (l *ConnectionLimits) Track(connection net.Conn, state http.ConnState) {
+func (l *ConnectionTracker) Track(connection net.Conn, state http.ConnState) {
 	tracked, ok := connection.(*trackedConnection)
 	if !ok {
 		return
@@ -214,7 +214,7 @@
 }
 
 // Prune closes the connections whose timeout has expired.
-func (l *ConnectionLimits) Prune(now time.Time) {
+func (l *ConnectionTracker) Prune(now time.Time) {
 	idle, header := l.timeouts()
 	for _, connection := range l.openConnections() {
 		connection.closeIfExpired(func(since time.Time, partialRead bool) bool {
@@ -229,7 +229,7 @@
 
 // CloseIdle closes the connections that wait for a request, and returns the number of
 // connections that remain open.
-func (l *ConnectionLimits) CloseIdle() int {
+func (l *ConnectionTracker) CloseIdle() int {
 	remaining := 0
 	for _, connection := range l.openConnections() {
 		if !connection.closeIfExpired(func(_ time.Time, partialRead bool) bool { return !partialRead }) {
@@ -240,7 +240,7 @@
 }
 
 // openConnections returns a snapshot of the open connections.
-func (l *ConnectionLimits) openConnections() []*trackedConnection {
+func (l *ConnectionTracker) openConnections() []*trackedConnection {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	open := make([]*trackedConnection, 0, len(l.open))
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -10,8 +10,8 @@
 )
 
 // acceptTracked returns both ends of a loopback connection; the server end was accepted through
-// a listener with the limits.
-func acceptTracked(t *testing.T, limits *ingress.ConnectionLimits) (server, client net.Conn) {
+// a listener of the tracker.
+func acceptTracked(t *testing.T, limits *ingress.ConnectionTracker) (server, client net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 
 func TestIdleConnectionsFollowTheLimit(t *testing.T) {
 	limit := 20 * time.Second
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return limit, 0 })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return limit, 0 })
 	server, client := acceptTracked(t, limits)
 	start := time.Now()
 	limits.Track(server, http.StateIdle)
@@ -76,7 +76,7 @@
 // A request that has arrived but is still unread, because the node was busy, must be served
 // regardless of how long its connection was idle.
 func TestIdleConnectionWithUnreadRequestIsKept(t *testing.T) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Second, 0 })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Second, 0 })
 	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateIdle)
 	sendAndWait(t, client, "GET / HTTP/1.1\r\n")
@@ -89,7 +89,7 @@
 // The same applies between the first byte of a request and the moment at which net/http reports
 // its connection as active.
 func TestIdleConnectionWithPartOfARequestReadIsKept(t *testing.T) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Second, 10 * time.Second })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Second, 10 * time.Second })
 	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateIdle)
 	sendAndWait(t, client, "GET / HTTP/1.1\r\n")
@@ -107,7 +107,7 @@
 }
 
 func TestNewConnectionsWithoutRequestAreIdle(t *testing.T) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Second, time.Second })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Second, time.Second })
 	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateNew)
 	limits.Prune(time.Now().Add(10 * time.Second))
@@ -117,7 +117,7 @@
 }
 
 func TestIdleConnectionsAreClosedButForUnreadRequests(t *testing.T) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Minute, time.Minute })
 	idle, idleClient := acceptTracked(t, limits)
 	pending, pendingClient := acceptTracked(t, limits)
 	limits.Track(idle, http.StateIdle)
@@ -136,7 +136,7 @@
 
 // net/http always has a pending read on an idle connection; Prune must not block on it.
 func TestIdleConnectionsArePrunedWhileTheyAreRead(t *testing.T) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Second, 0 })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Second, 0 })
 	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateIdle)
 	go func() { _, _ = server.Read(make([]byte, 1)) }()
@@ -160,7 +160,7 @@
 // Reading from a connection and closing it must exclude each other. When they overlapped, a
 // stopping node closed connections whose requests it had just read, and 2 requests were lost.
 func TestRequestsThatAreBeingReadAreNotCutOff(t *testing.T) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Minute, time.Minute })
 	const connections = 200
 	type outcome struct {
 		received int
@@ -195,7 +195,7 @@
 // With pipelining, the next request may arrive while one is active; its partial read must still
 // be recorded when the active request ends.
 func TestConnectionWithPartOfARequestReadWhileActiveIsKept(t *testing.T) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Minute, time.Minute })
 	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateActive)
 	sendAndWait(t, client, "GET / HTTP/1.1\r\n")
@@ -218,7 +218,7 @@
 }
 
 func TestNothingIsReadOnceReadingWasStopped(t *testing.T) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Minute, time.Minute })
 	server, client := acceptTracked(t, limits)
 	limits.Track(server, http.StateActive)
 	if !limits.StopReading(server) {
--- a/internal/ingress/handler.go
+++ b/internal/ingress/handler.go
@@ -109,10 +109,10 @@
 	}
 }
 
-// End records that the node now closes its client connections, so that an aborted request is
-// not attributed to its client leaving. It counts the aborted requests, including those whose
-// body is still being received and those whose response has not been written.
-func (h *Handler) End() {
+// MarkForcedClose records that the node now closes its client connections, so that an aborted
+// request is not attributed to its client leaving. It counts the aborted requests, including
+// those whose body is still being received and those whose response has not been written.
+func (h *Handler) MarkForcedClose() {
 	h.forceClosed.Store(true)
 	forcedCloseTotal.Add(float64(h.active.Load()))
 }
@@ -120,10 +120,10 @@
 // Active returns the number of requests in progress.
 func (h *Handler) Active() int { return int(h.active.Load()) }
 
-// SideBySide reports whether a request may run concurrently with others on its connection: only
-// requests of routes marked repeatable may. Clients rely on the other requests being executed
-// in order.
-func (h *Handler) SideBySide(incoming *http.Request) bool {
+// MayRunConcurrently reports whether a request may run concurrently with others on its
+// connection: only requests of routes marked repeatable may. Clients rely on the other requests
+// being executed in order.
+func (h *Handler) MayRunConcurrently(incoming *http.Request) bool {
 	table := h.views.Current().Table
 	if table == nil {
 		return false
--- a/internal/ingress/paced.go
+++ b/internal/ingress/paced.go
@@ -50,9 +50,9 @@
 	return p.pacer.Reserve(time.Since(p.start), size)
 }
 
-// PaceAnswers enables pacing of large responses on a link with a capacity of bytesPerSecond. It
-// must be called before the first request.
-func (h *Handler) PaceAnswers(bytesPerSecond float64) { h.pacer = newResponsePacer(bytesPerSecond) }
+// PaceResponses enables pacing of large responses on a link with a capacity of bytesPerSecond.
+// It must be called before the first request.
+func (h *Handler) PaceResponses(bytesPerSecond float64) { h.pacer = newResponsePacer(bytesPerSecond) }
 
 // withPacing returns a writer for a response of the given size. A streamed response is of
 // unknown size and is always paced.
--- a/internal/ingress/paced_test.go
+++ b/internal/ingress/paced_test.go
@@ -29,7 +29,7 @@
 
 func pacedHandler() *Handler {
 	h := &Handler{}
-	h.PaceAnswers(testLinkRate)
+	h.PaceResponses(testLinkRate)
 	return h
 }
 
--- a/internal/ingress/pipeline/benchmark_test.go
+++ b/internal/ingress/pipeline/benchmark_test.go
@@ -25,7 +25,7 @@
 // BenchmarkServers compares the server with net/http's: one request at a time, and eight
 // pipelined requests at a time.
 func BenchmarkServers(b *testing.B) {
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Minute, time.Minute })
 	standard := &http.Server{Handler: http.HandlerFunc(benchmarkHandler), ConnState: limits.Track}
 	pipelined := newServer(http.HandlerFunc(benchmarkHandler), limits, newBudget())
 	for _, server := range []struct {
@@ -122,7 +122,7 @@
 				}
 				reached <- time.Now()
 			})
-			limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
+			limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Minute, time.Minute })
 			server := newServer(handler, limits, newBudget())
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
--- a/internal/ingress/pipeline/connection.go
+++ b/internal/ingress/pipeline/connection.go
@@ -108,7 +108,7 @@
 // are accepted.
 func (c *connection) waitForCapacity() bool {
 	c.waitUntil(func() bool {
-		return c.inputClosed || len(c.queue) == 0 || (len(c.queue) < maxPipelined && !c.server.Held.exhausted())
+		return c.inputClosed || len(c.queue) == 0 || (len(c.queue) < maxPipelined && !c.server.MemoryBudget.exhausted())
 	})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/ingress/pipeline/fuzz_test.go
+++ b/internal/ingress/pipeline/fuzz_test.go
@@ -121,10 +121,10 @@
 
 func newServerPair(t testing.TB) serverPair {
 	t.Helper()
-	limits := ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute })
+	limits := ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Minute, time.Minute })
 	pipelined := &pipeline.Server{
-		Handler: http.HandlerFunc(echo), Connections: limits, HeaderBytes: 64 << 10, Held: newBudget(), Logger: zap.NewNop(),
-		SideBySide: func(*http.Request) bool { return true },
+		Handler: http.HandlerFunc(echo), Connections: limits, HeaderBytes: 64 << 10, MemoryBudget: newBudget(), Logger: zap.NewNop(),
+		MayRunConcurrently: func(*http.Request) bool { return true },
 	}
 	standard := &http.Server{Handler: http.HandlerFunc(echo), MaxHeaderBytes: 64 << 10}
 	start := func(serve func(net.Listener) error, closeServer func() error) string {
--- a/internal/ingress/pipeline/queue.go
+++ b/internal/ingress/pipeline/queue.go
@@ -50,7 +50,7 @@
 		return
 	}
 	e.reservedBytes = requestOverhead + e.bodyBytes
-	c.server.Held.reserve(e.reservedBytes)
+	c.server.MemoryBudget.reserve(e.reservedBytes)
 	e.state = stateQueued
 	c.trackReadLocked()
 	c.stopReadingIfClosingLocked()
@@ -205,7 +205,7 @@
 
 // releaseLocked releases the memory charged for an exchange.
 func (c *connection) releaseLocked(e *exchange) {
-	c.server.Held.release(e.reservedBytes + e.reservedResponseBytes)
+	c.server.MemoryBudget.release(e.reservedBytes + e.reservedResponseBytes)
 	c.buffered -= e.reservedResponseBytes
 	e.reservedBytes, e.reservedResponseBytes = 0, 0
 }
--- a/internal/ingress/pipeline/response.go
+++ b/internal/ingress/pipeline/response.go
@@ -140,7 +140,7 @@
 // called with the connection's mutex held, and is evaluated only if there are other requests.
 func (e *exchange) mayRunConcurrently() bool {
 	if e.concurrent == nil {
-		allowed := e.rawResponse == "" && e.body == nil && e.connection.server.SideBySide(e.request)
+		allowed := e.rawResponse == "" && e.body == nil && e.connection.server.MayRunConcurrently(e.request)
 		e.concurrent = &allowed
 	}
 	return *e.concurrent
@@ -221,7 +221,7 @@
 		if e.blockedSince.IsZero() {
 			e.blockedSince = time.Now()
 		}
-		if c.buffered+count <= maxConnectionBuffer && c.server.Held.tryReserve(count) {
+		if c.buffered+count <= maxConnectionBuffer && c.server.MemoryBudget.tryReserve(count) {
 			c.buffered += count
 			e.reservedResponseBytes += count
 			c.mutex.Unlock()
--- a/internal/ingress/pipeline/server.go
+++ b/internal/ingress/pipeline/server.go
@@ -45,16 +45,16 @@
 // Server serves HTTP/1.1 connections. Its exported fields must not change while it serves.
 type Server struct {
 	Handler http.Handler
-	// SideBySide reports whether a request may run concurrently with others on its connection.
-	// It must not block.
-	SideBySide func(*http.Request) bool
+	// MayRunConcurrently reports whether a request may run concurrently with others on its
+	// connection. It must not block.
+	MayRunConcurrently func(*http.Request) bool
 	// Connections tracks the connections' states.
 	Connections Connections
 	// HeaderBytes limits the size of a request header, including the request line.
 	HeaderBytes int
-	// Held accounts for the memory held on behalf of clients.
-	Held   *Held
-	Logger *zap.Logger
+	// MemoryBudget accounts for the memory held on behalf of clients.
+	MemoryBudget *MemoryBudget
+	Logger       *zap.Logger
 
 	// warnUnsentOnce limits the warning that unsent data could not be bounded to once per
 	// server.
--- a/internal/ingress/pipeline/server_test.go
+++ b/internal/ingress/pipeline/server_test.go
@@ -30,7 +30,7 @@
 type testServer struct {
 	*pipeline.Server
 	address string
-	limits  *ingress.ConnectionLimits
+	limits  *ingress.ConnectionTracker
 	// started receives the path of each request that has reached the handler.
 	started chan string
 	// done receives the path of each request whose context was cancelled before its response.
@@ -42,17 +42,17 @@
 
 // startServer starts a server. Its handler responds with the path and the body once the path's
 // gate is open; a path without a gate is answered at once.
-func startServer(t *testing.T, held *pipeline.Held) *testServer {
+func startServer(t *testing.T, held *pipeline.MemoryBudget) *testServer {
 	t.Helper()
 	return startServerWith(t, nil, held)
 }
 
 // startServerWith starts a server with the given handler.
-func startServerWith(t *testing.T, handler http.Handler, held *pipeline.Held) *testServer {
+func startServerWith(t *testing.T, handler http.Handler, held *pipeline.MemoryBudget) *testServer {
 	t.Helper()
 	s := &testServer{
 		started: make(chan string, 1000), done: make(chan string, 1000), gates: make(map[string]chan struct{}),
-		limits: ingress.NewConnectionLimits(func() (idle, header time.Duration) { return time.Minute, time.Minute }),
+		limits: ingress.NewConnectionTracker(func() (idle, header time.Duration) { return time.Minute, time.Minute }),
 	}
 	if handler == nil {
 		handler = http.HandlerFunc(s.handle)
@@ -76,10 +76,10 @@
 	return s
 }
 
-func newServer(handler http.Handler, limits *ingress.ConnectionLimits, held *pipeline.Held) *pipeline.Server {
+func newServer(handler http.Handler, limits *ingress.ConnectionTracker, held *pipeline.MemoryBudget) *pipeline.Server {
 	return &pipeline.Server{
-		Handler: handler, Connections: limits, HeaderBytes: 64 << 10, Held: held, Logger: zap.NewNop(),
-		SideBySide: func(request *http.Request) bool { return strings.HasPrefix(request.URL.Path, safePath) },
+		Handler: handler, Connections: limits, HeaderBytes: 64 << 10, MemoryBudget: held, Logger: zap.NewNop(),
+		MayRunConcurrently: func(request *http.Request) bool { return strings.HasPrefix(request.URL.Path, safePath) },
 	}
 }
 
@@ -220,7 +220,7 @@
 	}
 }
 
-func newBudget() *pipeline.Held { return pipeline.NewHeld(16 << 20) }
+func newBudget() *pipeline.MemoryBudget { return pipeline.NewMemoryBudget(16 << 20) }
 
 func TestSafeRequestsRunBesideASlowOneAndAreAnsweredInOrder(t *testing.T) {
 	s := startServer(t, newBudget())
@@ -507,7 +507,7 @@
 
 // With an exhausted memory budget, each connection is still served one request at a time.
 func TestWithoutRoomRequestsAreReadOneByOne(t *testing.T) {
-	s := startServer(t, pipeline.NewHeld(0))
+	s := startServer(t, pipeline.NewMemoryBudget(0))
 	unblock := s.blockPath("/safe/slow")
 	c := s.dial(t)
 	c.get("/safe/slow", "/safe/1")
--- a/internal/ingress/pipeline/slowreader_test.go
+++ b/internal/ingress/pipeline/slowreader_test.go
@@ -121,7 +121,7 @@
 			mux := http.NewServeMux()
 			mux.Handle("/safe/long", handler)
 			mux.HandleFunc("/safe/slow", func(writer http.ResponseWriter, _ *http.Request) { <-gate })
-			held := pipeline.NewHeld(test.budget)
+			held := pipeline.NewMemoryBudget(test.budget)
 			s := startServerWith(t, mux, held)
 			c := s.dial(t)
 			c.get(append([]string{"/safe/slow"}, strings.Fields(strings.Repeat("/safe/long ", 10))...)...)
--- a/internal/ingress/pipeline/write.go
+++ b/internal/ingress/pipeline/write.go
@@ -74,7 +74,7 @@
 			// normally.
 			_ = socket.SetLinger(0)
 		}
-	case !aborted && (!sockets.Quiet(c.socket) || !c.fullyAcknowledged()):
+	case !aborted && (!sockets.IsIdle(c.socket) || !c.fullyAcknowledged()):
 		c.linger()
 	}
 	// The connection is not used any more, so an error has no consequence.
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -100,7 +100,7 @@
 	n.closeIdleClients(bounded)
 	// What is left is being served; Shutdown waits for its end.
 	if err := n.clients.Shutdown(bounded); err != nil && !errors.Is(err, net.ErrClosed) {
-		n.handler.End()
+		n.handler.MarkForcedClose()
 		n.logger.Warn("requests cut off at the end", zap.Int("active", n.handler.Active()), zap.Error(err))
 	}
 	n.waitForHome(bounded)
@@ -146,7 +146,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
 		defer cancel()
 		if err := n.clients.Shutdown(ctx); err != nil {
-			n.handler.End()
+			n.handler.MarkForcedClose()
 			n.logger.Warn("requests cut off at the end", zap.Int("active", n.handler.Active()), zap.Error(err))
 		}
 	}
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -68,8 +68,8 @@
 	mirror       *mirror.Mirror
 	dispatcher   *dispatch.Dispatcher
 	handler      *ingress.Handler
-	connections  *ingress.ConnectionLimits
-	held         *pipeline.Held
+	connections  *ingress.ConnectionTracker
+	held         *pipeline.MemoryBudget
 	managers     *managers
 	peers        *peers
 	registration *registration
@@ -113,10 +113,10 @@
 	n.handler = ingress.NewHandler(platform.Headers, n.views, n.dispatcher, logger)
 	if settings.LinkMegabits != nil {
 		// A link that nobody told of may be far faster than the slowest one.
-		n.handler.PaceAnswers(settings.linkBytes())
+		n.handler.PaceResponses(settings.linkBytes())
 	}
-	n.connections = ingress.NewConnectionLimits(n.connectionLimits)
-	n.held = pipeline.NewHeld(int64(heldPart * float64(settings.MemoryMegabytes) * (1 << 20)))
+	n.connections = ingress.NewConnectionTracker(n.connectionLimits)
+	n.held = pipeline.NewMemoryBudget(int64(heldPart * float64(settings.MemoryMegabytes) * (1 << 20)))
 	hello := &wire.Hello{Node: self.Name, Zone: self.Zone, Address: self.Address, ProtocolVersion: wire.ProtocolVersion}
 	client := transport.NewClient(hello, nil)
 	changes := newChangeFeed(self, client, logger)
@@ -206,8 +206,8 @@
 	}
 	n.inner = transport.NewServer(hello, inner, nil, n.peers, n.logger)
 	n.clients = &pipeline.Server{
-		Handler: n.handler, SideBySide: n.handler.SideBySide,
-		Connections: n.connections, HeaderBytes: headerBytes, Held: n.held, Logger: n.logger,
+		Handler: n.handler, MayRunConcurrently: n.handler.MayRunConcurrently,
+		Connections: n.connections, HeaderBytes: headerBytes, MemoryBudget: n.held, Logger: n.logger,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+readyPath, n.answerReady)
--- a/internal/sockets/ack_timeout.go
+++ b/internal/sockets/ack_timeout.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// BoundSilence configures an accepted connection in the same way as Dialer configures outgoing
+// SetAckTimeout configures an accepted connection in the same way as Dialer configures outgoing
 // ones.
-func BoundSilence(socket net.Conn, ackTimeout time.Duration) error {
+func SetAckTimeout(socket net.Conn, ackTimeout time.Duration) error {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok {
 		return nil
--- a/internal/sockets/ack_timeout_test.go
+++ b/internal/sockets/ack_timeout_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	if err := sockets.BoundSilence(accepted, ackTimeout); err != nil {
+	if err := sockets.SetAckTimeout(accepted, ackTimeout); err != nil {
 		t.Fatal(err)
 	}
 	for name, socket := range map[string]net.Conn{"dialed": dialed, "accepted": accepted} {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet reports whether a connection is open and has no unread data. A connection without a
-// file descriptor is reported as quiet.
-func Quiet(socket net.Conn) bool {
+// IsIdle reports whether a connection is open and has no unread data. A connection without a
+// file descriptor is reported as idle.
+func IsIdle(socket net.Conn) bool {
 	raw, ok := socket.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -89,7 +89,7 @@
 func (s *Server) serveConnection(socket net.Conn) {
 	live := newConnection(socket)
 	defer live.close()
-	if err := sockets.BoundSilence(socket, silenceLimit); err != nil {
+	if err := sockets.SetAckTimeout(socket, silenceLimit); err != nil {
 		s.logger.Warn("silence of a peer is not bounded", zap.Stringer("remote", socket.RemoteAddr()), zap.Error(err))
 	}
 	reader := bufio.NewReaderSize(socket, bufferBytes)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -219,7 +219,7 @@
 		last := len(p.idle) - 1
 		c := p.idle[last]
 		p.idle = p.idle[:last]
-		if time.Since(c.idleSince) < c.usableFor && sockets.Quiet(c.socket) {
+		if time.Since(c.idleSince) < c.usableFor && sockets.IsIdle(c.socket) {
 			return c
 		}
 		c.close()
@@ -273,7 +273,7 @@
 	}
 	p.link.passed(startedAt)
 	periodic.Pause(ctx, p.settleTime(time.Since(startedAt)))
-	if !sockets.Quiet(socket) {
+	if !sockets.IsIdle(socket) {
 		// It was ended by the server; there is nobody to tell.
 		_ = socket.Close()
 		return nil, errors.Mark(errors.Wrapf(ErrTurnedAway, "connect to %s", p.address), ErrNotSent)
