--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -12,17 +12,17 @@
 
 const step = 10 * time.Millisecond
 
-// cluster plays nodes, the store and the network between them in simulated time.
+// cluster simulates nodes, the store and the network between them.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
 	revision int64
 	nodes    []*node
 	random   *rand.Rand
-	// connected holds the pairs of nodes that have a connection: what is sent before is
+	// connected holds the pairs of nodes that have a connection; messages sent before that are
 	// lost.
 	connected map[string]bool
-	// calls counts answered watches and reads of the revision.
+	// calls counts answered watches and revision reads.
 	calls int
 }
 
@@ -30,8 +30,8 @@
 	feed.Member
 	core     *feed.Feed
 	revision int64
-	// stopped nodes do nothing; isolated ones reach no other node; cut off ones do
-	// not reach the store; silent ones have a watch that tells nothing.
+	// stopped nodes do nothing; isolated ones reach no other node; cutOff ones do not reach the
+	// store; silent ones have a watch that reports no changes.
 	stopped, isolated, cutOff, silent bool
 	inbox                             []delivery
 }
@@ -79,15 +79,15 @@
 	}
 }
 
-// change makes the store's revision rise.
+// change increments the store's revision.
 func (c *cluster) change() { c.revision++ }
 
 func (c *cluster) event(revision int64) topo.Event {
 	return topo.Event{Item: topo.Item{Key: fmt.Sprintf("key %d", revision), Revision: revision}}
 }
 
-// take moves a node's copy to a revision.
-func (c *cluster) take(n *node, batch topo.Batch) {
+// applyBatch applies a batch to a node's copy.
+func (c *cluster) applyBatch(n *node, batch topo.Batch) {
 	if batch.After > n.revision || batch.Revision <= n.revision {
 		return
 	}
@@ -105,14 +105,14 @@
 	c.send(n, n.core.Changed(c.now, batch))
 }
 
-// fetch gives a node all changes that it lacks from the store.
+// fetch applies all missing changes from the store to a node's copy.
 func (c *cluster) fetch(n *node) {
 	c.calls++
 	batch := topo.Batch{After: n.revision, Revision: c.revision}
 	for revision := n.revision + 1; revision <= c.revision; revision++ {
 		batch.Events = append(batch.Events, c.event(revision))
 	}
-	c.take(n, batch)
+	c.applyBatch(n, batch)
 	n.core.Confirm(c.now, c.revision)
 }
 
@@ -123,7 +123,7 @@
 	c.fetch(n)
 }
 
-// isHead reports whether a node passes changes on to its zone.
+// isHead reports whether a node sends changes to the nodes of its zone.
 func (c *cluster) isHead(n *node) bool {
 	for _, head := range c.nodes[0].core.Heads() {
 		if head.Name == n.Name {
@@ -133,15 +133,16 @@
 	return false
 }
 
-// compare asks the store for its revision, as the root does when it is due.
+// compare reads the store's revision if a node's confirmation is due, and announces it to the
+// heads.
 func (c *cluster) compare(n *node) {
 	if n.cutOff || !n.core.ConfirmationDue(c.now) {
 		return
 	}
 	c.calls++
 	for _, other := range c.nodes {
-		told := other == n || (c.isHead(other) && !other.isolated && !n.isolated && !other.stopped)
-		if !told {
+		informed := other == n || (c.isHead(other) && !other.isolated && !n.isolated && !other.stopped)
+		if !informed {
 			continue
 		}
 		confirm := other.core.ConfirmTold
@@ -175,7 +176,7 @@
 		messages, batch := n.core.Step(c.now, d.from, d.message)
 		c.send(n, messages)
 		if batch != nil {
-			c.take(n, *batch)
+			c.applyBatch(n, *batch)
 		}
 	}
 	c.send(n, n.core.Tick(c.now))
@@ -183,7 +184,7 @@
 	c.compare(n)
 }
 
-// start lists the store at every node and lets the feed settle.
+// start lists the store on every node and runs the cluster until it is stable.
 func (c *cluster) start() {
 	for _, n := range c.nodes {
 		c.fetch(n)
@@ -201,8 +202,8 @@
 	return found
 }
 
-// wantFresh fails unless every node that runs, but for exceptions, learns of a
-// change within a time.
+// wantFresh fails unless every running node, except those excluded, receives a change within the
+// given time.
 func (c *cluster) wantFresh(within time.Duration, except func(*node) bool) {
 	c.t.Helper()
 	c.change()
@@ -214,7 +215,7 @@
 	}
 }
 
-func nobody(*node) bool { return false }
+func noExceptions(*node) bool { return false }
 
 func TestOneNodeWatchesTheStore(t *testing.T) {
 	for _, count := range []int{1, 2, 8, 70, 300} {
@@ -224,11 +225,11 @@
 			t.Errorf("%d of %d nodes watch the store, want one", got, count)
 		}
 		const quick = 100 * time.Millisecond
-		c.wantFresh(quick, nobody)
+		c.wantFresh(quick, noExceptions)
 	}
 }
 
-// The number of calls for a change must not grow with the number of nodes.
+// The number of store calls per change must not grow with the number of nodes.
 func TestCallsForChangesDoNotGrowWithNodes(t *testing.T) {
 	calls := func(count int) int {
 		c := newCluster(t, count, 3)
@@ -246,8 +247,7 @@
 	}
 }
 
-// A root or a head that stops, freezes or is cut off leaves its followers to the
-// store.
+// Followers of a root or head that stops, freezes or is cut off must reach the store themselves.
 func TestFollowersOfALostNodeGoToTheStore(t *testing.T) {
 	const bound = 1500 * time.Millisecond
 	losses := map[string]func(*node){
@@ -275,9 +275,9 @@
 					}
 				}
 				if len(lost) == 0 {
-					t.Fatal("nobody is lost")
+					t.Fatal("no node was lost")
 				}
-				// The change comes at any moment after the loss.
+				// The change occurs at a random time after the loss.
 				c.run(time.Duration(c.random.IntN(700)) * time.Millisecond)
 				c.wantFresh(bound, func(n *node) bool { return lost[n] && n.cutOff })
 			})
@@ -285,8 +285,8 @@
 	}
 }
 
-// Seen on umurage-gw-large trouble-1: when the store turned a head away, all nodes
-// that followed it went to the store in the same 50 ms, and listed all of it.
+// When the store refused a head, all of its followers went to the store within the same 50 ms and
+// listed all keys (scenario umurage-gw-large trouble-1).
 func TestFollowersOfALostNodeDoNotGoToTheStoreTogether(t *testing.T) {
 	const most = 4
 	losses := map[string]func(*node){
@@ -323,7 +323,7 @@
 	}
 }
 
-// All heads may lose the store while the others reach it.
+// All heads may lose the store while other nodes still reach it.
 func TestAllHeadsCutOffFromTheStore(t *testing.T) {
 	c := newCluster(t, 24, 3)
 	c.start()
@@ -334,7 +334,7 @@
 	c.wantFresh(bound, func(n *node) bool { return n.cutOff })
 }
 
-// Watches of all nodes may be silent; the store's revision shows it.
+// The watches of all nodes may miss changes; comparing the store's revision detects it.
 func TestSilentWatchesAreFound(t *testing.T) {
 	c := newCluster(t, 24, 3)
 	c.start()
@@ -342,10 +342,10 @@
 		n.silent = true
 	}
 	const bound = 900 * time.Millisecond
-	c.wantFresh(bound, nobody)
+	c.wantFresh(bound, noExceptions)
 }
 
-// A node that wakes up from a freeze does not take old messages for news.
+// A node that resumes after being frozen must not treat old heartbeats as current.
 func TestThawedFollowerDoesNotTrustOldHeartbeats(t *testing.T) {
 	c := newCluster(t, 9, 3)
 	c.start()
@@ -361,11 +361,11 @@
 	frozen.stopped = false
 	c.run(100 * time.Millisecond)
 	if frozen.revision < c.revision {
-		t.Fatalf("the thawed node is at %d, the store at %d", frozen.revision, c.revision)
+		t.Fatalf("the resumed node is at %d, the store at %d", frozen.revision, c.revision)
 	}
 }
 
-// Changes that a follower missed are passed on again.
+// Changes that a follower missed are sent to it again.
 func TestMissedChangesArePassedOnAgain(t *testing.T) {
 	c := newCluster(t, 9, 3)
 	c.start()
@@ -385,7 +385,7 @@
 	}
 }
 
-// Nodes with a greater share of a processor take the duties.
+// Nodes with a greater processor share are ranked first.
 func TestRankPrefersGreaterShares(t *testing.T) {
 	ranked := feed.Rank([]feed.Member{{Name: "a", Share: 0.16}, {Name: "c", Share: 0.8}, {Name: "b", Share: 0.8}})
 	for index, want := range []string{"b", "c", "a"} {
@@ -395,11 +395,9 @@
 	}
 }
 
-// Entries that vanish with an outage of the store may come back for a while after
-// it; those that vanish at any other time may not.
-// Seen on tintamezcla-gw-large trouble-1: while the store refused most of the larger
-// nodes of a zone, one of the smallest became a head, and its followers were seconds
-// behind (CONFIG 1).
+// While the store refused most of the larger nodes of a zone, one of the smallest became a head,
+// and its followers were seconds behind (scenario tintamezcla-gw-large trouble-1, 1 violation of
+// the soak rule CONFIG).
 func TestSmallNodesAreNoHeadsWhileThereAreLargerOnes(t *testing.T) {
 	c := newCluster(t, 60, 5)
 	for index, n := range c.nodes {
@@ -419,11 +417,11 @@
 	}
 	c.start()
 	const quick = 100 * time.Millisecond
-	c.wantFresh(quick, nobody)
+	c.wantFresh(quick, noExceptions)
 }
 
-// While a hundred nodes register again after the store turned them away, the others
-// must not change their upstream with each of them.
+// While a hundred nodes register again after the store refused them, the other nodes must not
+// change their upstream with each registration.
 func TestNodesStayWithTheirHeadWhileOthersRegister(t *testing.T) {
 	c := newCluster(t, 300, 5)
 	c.start()
@@ -463,9 +461,9 @@
 	}
 }
 
-// Seen on tintamezcla-gw-large trouble-1: the store turned the root away for 9 s; the
-// node next to it watched the store, told the root of its revision, took the root's word
-// for it again, and after a second nobody had asked the store.
+// The store refused the root for 9 s. The next head watched the store, told the root its revision
+// and then accepted the root's report of that revision as a new confirmation; after a second no
+// node asked the store any more (scenario tintamezcla-gw-large trouble-1).
 func TestRootThatTheStoreTurnsAwayIsNotReliedOn(t *testing.T) {
 	c := newCluster(t, 300, 5)
 	c.start()
@@ -474,7 +472,7 @@
 	watched := map[*node]bool{}
 	for range 25 {
 		const quick = 300 * time.Millisecond
-		c.wantFresh(quick, nobody)
+		c.wantFresh(quick, noExceptions)
 		for _, n := range c.watching() {
 			watched[n] = true
 		}
@@ -485,30 +483,33 @@
 	}
 }
 
+// Entries that are removed during an outage of the store may be written again for a short time
+// after it; entries removed at any other time may not.
 func TestEntriesMayReturnOnlyAfterTheStoreWasAway(t *testing.T) {
 	core := feed.New(feed.Member{Name: "n"})
 	confirm := func(at time.Duration) { core.Confirm(at, 0) }
 	if _, lapsed := core.LapsedUntil(time.Second); lapsed {
-		t.Fatal("a node that never heard of the store takes it as returned")
+		t.Fatal("the store counts as recovered on a node that has had no confirmation")
 	}
 	confirm(time.Second)
 	confirm(2 * time.Second)
 	if _, lapsed := core.LapsedUntil(2500 * time.Millisecond); lapsed {
-		t.Fatal("calm store: an entry that vanishes is taken as lapsed")
+		t.Fatal("an entry removed without an outage counts as lapsed")
 	}
-	// Nothing is heard until 7 s; the change that tells of it comes first.
+	// There is no confirmation until 7 s; the change that reveals the store's return arrives before
+	// it.
 	until, lapsed := core.LapsedUntil(7 * time.Second)
 	if !lapsed || until != 9*time.Second {
-		t.Fatalf("first change after an outage: until %v, %v", until, lapsed)
+		t.Fatalf("first change after an outage: grace until %v, lapsed %v", until, lapsed)
 	}
 	confirm(7 * time.Second)
 	until, lapsed = core.LapsedUntil(8 * time.Second)
 	if !lapsed || until != 9*time.Second {
-		t.Fatalf("a second after the return: until %v, %v", until, lapsed)
+		t.Fatalf("one second after the recovery: grace until %v, lapsed %v", until, lapsed)
 	}
 	confirm(8 * time.Second)
 	confirm(9 * time.Second)
 	if _, lapsed = core.LapsedUntil(9500 * time.Millisecond); lapsed {
-		t.Fatal("an entry that vanishes later is taken as lapsed")
+		t.Fatal("an entry removed later counts as lapsed")
 	}
 }
--- a/internal/feed/followers.go
+++ b/internal/feed/followers.go
@@ -7,7 +7,7 @@
 	"github.com/micahaven/micahaven/internal/topo"
 )
 
-// This file passes changes and confirmations on to the nodes that follow this one.
+// This file sends changes and confirmations to the nodes that follow this one.
 
 // Followers returns the addresses of the nodes that follow this one.
 func (f *Feed) Followers() []string {
@@ -18,7 +18,7 @@
 	return addresses
 }
 
-// withoutValues returns a batch without the values for which there are deltas.
+// withoutValues returns a copy of a batch without the values of the events that have deltas.
 func withoutValues(batch topo.Batch) topo.Batch {
 	stripped := batch
 	stripped.Events = append([]topo.Event(nil), batch.Events...)
@@ -30,11 +30,11 @@
 	return stripped
 }
 
-// size returns how many bytes of the log a batch takes.
-func size(batch topo.Batch) int {
+// batchSize returns how many bytes a batch counts in the log.
+func batchSize(batch topo.Batch) int {
 	bytes := 0
 	for _, event := range batch.Events {
-		bytes += changeBytes
+		bytes += changeOverheadBytes
 		if event.Delta != nil {
 			bytes += len(event.Delta)
 			continue
@@ -44,27 +44,27 @@
 	return bytes
 }
 
-// passOn appends the changes that a follower has not been sent yet.
-func (f *Feed) passOn(messages []Message, address string) []Message {
+// appendUnsent appends the changes that a follower has not been sent yet.
+func (f *Feed) appendUnsent(messages []Message, address string) []Message {
 	known := f.followers[address]
 	for _, batch := range f.log {
-		if batch.Revision <= known.sent {
+		if batch.Revision <= known.sentRevision {
 			continue
 		}
-		if batch.After > known.sent || batch.CrossesEras() && batch.After != known.sent {
-			// The follower is too far behind, or has changes that are lost in the new era; it
-			// will find out by its lag.
+		if batch.After > known.sentRevision || batch.CrossesEras() && batch.After != known.sentRevision {
+			// The follower is too far behind, or has changes that are lost in the new era. It
+			// detects that itself, because it lags behind the revision in the heartbeats.
 			return messages
 		}
-		missing := newerThan(batch, known.sent)
+		missing := changesAfter(batch, known.sentRevision)
 		messages = append(messages, Message{To: address, Batch: &missing})
-		known.sent = batch.Revision
+		known.sentRevision = batch.Revision
 	}
 	return messages
 }
 
-// newerThan returns the part of a batch that a copy at a revision lacks.
-func newerThan(batch topo.Batch, revision int64) topo.Batch {
+// changesAfter returns the part of a batch that a copy at the given revision lacks.
+func changesAfter(batch topo.Batch, revision int64) topo.Batch {
 	if batch.After == revision {
 		return batch
 	}
@@ -77,44 +77,44 @@
 	return missing
 }
 
-// serves reports whether this node passes changes on. Besides the heads and those that
-// watch the store, each node with a new copy does: while many nodes register at once,
-// they do not agree yet on who the heads are.
-func (f *Feed) serves(now time.Duration) bool {
+// servesFollowers reports whether this node accepts followers. Besides the heads and the nodes that
+// watch the store, every node with a recently confirmed copy does: while many nodes register at
+// once, they do not agree yet on which nodes are heads.
+func (f *Feed) servesFollowers(now time.Duration) bool {
 	return f.head || f.Watching(now) || f.confirmedAge(now) <= switchAge
 }
 
-func (f *Feed) stepFollow(now time.Duration, from string, ask *Follow) []Message {
-	if !f.serves(now) {
+func (f *Feed) handleFollow(now time.Duration, from string, request *Follow) []Message {
+	if !f.servesFollowers(now) {
 		return nil
 	}
 	known := f.followers[from]
 	if known == nil {
-		known = &follower{beatAt: now}
+		known = &follower{nextHeartbeatAt: now}
 		f.followers[from] = known
 	}
-	known.askedAt = now
-	known.sent = ask.Revision
-	messages := f.passOn(nil, from)
-	return f.beat(messages, now, from)
+	known.lastRequestAt = now
+	known.sentRevision = request.Revision
+	messages := f.appendUnsent(nil, from)
+	return f.appendDueHeartbeat(messages, now, from)
 }
 
-// beat appends a heartbeat if one is due.
-func (f *Feed) beat(messages []Message, now time.Duration, address string) []Message {
+// appendDueHeartbeat appends a heartbeat to a follower if one is due.
+func (f *Feed) appendDueHeartbeat(messages []Message, now time.Duration, address string) []Message {
 	known := f.followers[address]
-	age, confirmed := f.toldAge(now, address)
-	if now < known.beatAt || !confirmed {
+	age, confirmed := f.advertisedAge(now, address)
+	if now < known.nextHeartbeatAt || !confirmed {
 		return messages
 	}
-	known.beatAt = now + heartbeatInterval
+	known.nextHeartbeatAt = now + heartbeatInterval
 	return append(messages, Message{To: address, Heartbeat: &Heartbeat{Revision: f.revision, ConfirmedAge: age}})
 }
 
-// toldAge is the age of the confirmation that a follower is told.
-func (f *Feed) toldAge(now time.Duration, address string) (time.Duration, bool) {
+// advertisedAge returns the confirmation age to send to a follower, and false if there is none.
+func (f *Feed) advertisedAge(now time.Duration, address string) (time.Duration, bool) {
 	toHead := slices.ContainsFunc(f.heads, func(head Member) bool { return head.Address == address })
 	if toHead {
-		return now - f.passedAt, f.passes
+		return now - f.relayConfirmedAt, f.relayConfirmed
 	}
 	return f.ConfirmedAge(now)
 }
--- a/internal/feed/members.go
+++ b/internal/feed/members.go
@@ -9,26 +9,25 @@
 )
 
 const (
-	// followersPerHead bounds how many nodes of a zone follow one head.
+	// followersPerHead is the maximum number of nodes in a zone per head.
 	followersPerHead = 32
-	// fewestHeads is how many heads there are at least, so that the loss of the one
-	// that watches the store leaves others that take its place at once.
-	fewestHeads = 3
+	// minHeads is the minimum number of heads, so that others can take over at once when the head
+	// that watches the store is lost.
+	minHeads = 3
 )
 
 // Member is a registered node.
 type Member struct {
 	Name string
 	Zone string
-	// Address is where the node takes messages of other nodes.
+	// Address is the address for messages from other nodes.
 	Address string
-	// Share is the part of a processor that the node has; nodes with more of it
-	// are preferred as watchers.
+	// Share is the node's share of a processor; nodes with a greater share are preferred as heads.
 	Share float64
 }
 
-// Rank sorts members by their preference for duties: those with a greater share
-// of a processor first. All nodes that know the same members get the same order.
+// Rank sorts members by their preference for duties: greater processor shares first, then by name.
+// All nodes that know the same members compute the same order.
 func Rank(members []Member) []Member {
 	ranked := append([]Member(nil), members...)
 	sort.Slice(ranked, func(i, j int) bool {
@@ -40,19 +39,19 @@
 	return ranked
 }
 
-// rootRank is the rank of the head that watches the store. The best nodes have other
-// duties, which would be lost at the same time; the last ones are heads only as long as
-// their zone has as many nodes.
+// rootRank is the rank of the head that watches the store. The best-ranked nodes have other duties,
+// which would be lost at the same time; the lowest-ranked ones are heads only while their zone has
+// enough nodes.
 const rootRank = 2
 
-// watchOrder returns the heads in the order in which they are to watch the store: the
-// root, those behind it in rank, and last the better ones.
+// watchOrder returns the heads in the order in which they watch the store: the root, the heads
+// ranked below it, and finally those ranked above it.
 func watchOrder(heads []Member) []Member {
 	first := min(rootRank, max(0, len(heads)-1))
 	return append(slices.Clone(heads[first:]), heads[:first]...)
 }
 
-// first returns the first of some members, if there are any.
+// first returns the first member, or false if there are none.
 func first(members []Member) (Member, bool) {
 	if len(members) == 0 {
 		return Member{}, false
@@ -60,31 +59,31 @@
 	return members[0], true
 }
 
-// strongShare is the part of the greatest share of a processor that a head has at
-// least: what a head passes on to its followers takes a machine with a fifth of the
-// greatest share all of its processor, and its followers fall behind.
-const strongShare = 0.5
+// minHeadShareRatio is the minimum processor share of a head, relative to the greatest share of any
+// member. Serving the followers of a head uses the whole processor of a machine with a fifth of the
+// greatest share, and its followers fall behind.
+const minHeadShareRatio = 0.5
 
-// headsOf returns, in the order of their rank, those of ranked members that pass
-// changes on to their zone: some of each zone that has strong ones, and the best of all
-// until there are enough for the number of members.
+// headsOf returns, in rank order, the members that serve as heads: some of each zone that has
+// eligible members, and then the best-ranked ones of any zone until there are enough heads for the
+// number of members.
 func headsOf(ranked []Member) []Member {
-	strong := strongOf(ranked)
-	inZone := make(map[string]int)
+	candidates := headCandidates(ranked)
+	zoneSize := make(map[string]int)
 	for _, member := range ranked {
-		inZone[member.Zone]++
+		zoneSize[member.Zone]++
 	}
 	chosen := make(map[string]bool)
-	taken := make(map[string]int)
-	for _, member := range strong {
-		if taken[member.Zone] < 1+(inZone[member.Zone]-1)/followersPerHead {
-			taken[member.Zone]++
+	headsInZone := make(map[string]int)
+	for _, member := range candidates {
+		if headsInZone[member.Zone] < 1+(zoneSize[member.Zone]-1)/followersPerHead {
+			headsInZone[member.Zone]++
 			chosen[member.Name] = true
 		}
 	}
-	enough := max(fewestHeads, (len(ranked)+followersPerHead-1)/followersPerHead)
+	target := max(minHeads, (len(ranked)+followersPerHead-1)/followersPerHead)
 	for _, member := range ranked {
-		if len(chosen) >= enough {
+		if len(chosen) >= target {
 			break
 		}
 		chosen[member.Name] = true
@@ -98,51 +97,51 @@
 	return heads
 }
 
-// strongOf returns those of ranked members that may be heads.
-func strongOf(ranked []Member) []Member {
+// headCandidates returns the ranked members that are eligible as heads.
+func headCandidates(ranked []Member) []Member {
 	for index, member := range ranked {
-		if member.Share < strongShare*ranked[0].Share {
+		if member.Share < minHeadShareRatio*ranked[0].Share {
 			return ranked[:index]
 		}
 	}
 	return ranked
 }
 
-// upstreamsOf returns the nodes that a node may follow, the preferred one first.
+// upstreamsOf returns the nodes that a node may follow, most preferred first.
 //
-// A head follows the root, or else one of the heads that come before it in their order:
-// it never follows a head that may follow it. Any other node follows a head of its own
-// zone, or else one of another zone; which of them it prefers does not depend on what
-// other nodes there are, so that nodes stay with their heads while others come and go.
-func upstreamsOf(self Member, order []Member) []Member {
-	if index := positionOf(self, order); index >= 0 {
-		return order[:index]
+// A head follows the root or one of the heads before it in the watch order, so that it never
+// follows a head that may follow it. Any other node follows a head of its own zone, or else one of
+// another zone. Its preference among them does not depend on which other nodes exist, so that nodes
+// keep their heads while other nodes come and go.
+func upstreamsOf(self Member, watchPriority []Member) []Member {
+	if index := positionOf(self, watchPriority); index >= 0 {
+		return watchPriority[:index]
 	}
-	upstreams := slices.Clone(order)
+	upstreams := slices.Clone(watchPriority)
 	slices.SortFunc(upstreams, func(a, b Member) int {
-		if near := a.Zone == self.Zone; near != (b.Zone == self.Zone) {
-			if near {
+		if sameZone := a.Zone == self.Zone; sameZone != (b.Zone == self.Zone) {
+			if sameZone {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(preference(self, b), preference(self, a))
+		return cmp.Compare(rendezvousWeight(self, b), rendezvousWeight(self, a))
 	})
 	return upstreams
 }
 
-// withoutSelf returns members without a node.
+// withoutSelf returns members without the given node.
 func withoutSelf(self Member, members []Member) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.Name == self.Name })
 }
 
-// preference is how much a node prefers a head among those of the same zone: a number
-// that spreads the nodes evenly over them (rendezvous hashing).
-func preference(node, head Member) uint64 {
+// rendezvousWeight returns the weight of a head for a node in rendezvous hashing, which spreads the
+// nodes evenly over the heads of a zone.
+func rendezvousWeight(node, head Member) uint64 {
 	return xxhash.Sum64String(node.Name + "\x00" + head.Name)
 }
 
-// positionOf returns the position of a node among members, or -1.
+// positionOf returns the index of a node in members, or -1.
 func positionOf(node Member, members []Member) int {
 	return slices.IndexFunc(members, func(member Member) bool { return member.Name == node.Name })
 }
--- a/internal/feed/restored_test.go
+++ b/internal/feed/restored_test.go
@@ -24,7 +24,7 @@
 			}
 		}
 		if passed, want := reached == at, asked <= old; passed != want {
-			t.Errorf("asked for changes after %d: brought to %d, want the new era %v", asked, reached, want)
+			t.Errorf("request for changes after %d: brought to %d, want the new era: %v", asked, reached, want)
 		}
 	}
 }
@@ -35,11 +35,11 @@
 	core.Confirm(2*time.Second, 0)
 	core.Restored(2500 * time.Millisecond)
 	if until, lapsed := core.LapsedUntil(3 * time.Second); !lapsed || until != 4500*time.Millisecond {
-		t.Fatalf("half a second after the store was restored: until %v, %v", until, lapsed)
+		t.Fatalf("half a second after the store was restored: grace until %v, lapsed %v", until, lapsed)
 	}
 	core.Confirm(3*time.Second, 0)
 	core.Confirm(4*time.Second, 0)
 	if _, lapsed := core.LapsedUntil(5 * time.Second); lapsed {
-		t.Fatal("an entry that vanishes later is taken as lapsed")
+		t.Fatal("an entry removed later counts as lapsed")
 	}
 }
--- a/internal/feed/missed_test.go
+++ b/internal/feed/resync_test.go
@@ -9,8 +9,8 @@
 	"github.com/micahaven/micahaven/internal/topo"
 )
 
-// follower returns the feed of a node that follows another one and has a copy at a
-// revision.
+// follower returns the feed of a node that follows another one and has a copy at the given
+// revision, and the address of its upstream.
 func follower(t *testing.T, revision int64) (*feed.Feed, string) {
 	t.Helper()
 	self := feed.Member{Name: "follower", Zone: "z", Address: "address of follower", Share: 1}
@@ -24,34 +24,35 @@
 	core.Changed(0, topo.Batch{Revision: revision})
 	upstream, following := core.Upstream()
 	if !following {
-		t.Fatal("follows nobody")
+		t.Fatal("the node follows no other node")
 	}
 	return core, upstream.Address
 }
 
-// Seen on a hunted day of kervran-hq-grown (CONFIG 28, 0.3 GB between zones): a node that
-// could not take a change asked for it again with each later one that came, was sent all
-// of them each time, and asked again for each of these.
+// A node that missed a change must not request it again with each later change that arrives: it was
+// sent all changes each time, and sent another request for each of these. Observed in a soak search
+// on kervran-hq-grown: 28 violations of the rule CONFIG, and 0.3 GB more between zones than usual
+// (docs/FINDINGS.md).
 func TestMissedChangesAreAskedForOnce(t *testing.T) {
 	const revision, later = 10, 40
 	core, upstream := follower(t, revision)
 	asked := 0
 	for index := range int64(later) {
-		// The first change, which leads to revision + 1, is not taken.
+		// The first change, which leads to revision + 1, is not delivered.
 		batch := topo.Batch{After: revision + 1 + index, Revision: revision + 2 + index}
 		now := time.Duration(index) * time.Millisecond
-		messages, taken := core.Step(now, upstream, feed.Message{Batch: &batch})
-		if taken != nil {
-			t.Fatal("a change was taken after one that is missing")
+		messages, applied := core.Step(now, upstream, feed.Message{Batch: &batch})
+		if applied != nil {
+			t.Fatal("a change was applied although an earlier one is missing")
 		}
 		asked += len(messages)
 	}
 	if asked != 1 {
-		t.Errorf("asked %d times within %d ms, want once", asked, later)
+		t.Errorf("%d requests within %d ms, want one", asked, later)
 	}
 }
 
-// What is still missing after some time is asked for again.
+// Changes that are still missing after some time are requested again.
 func TestMissedChangesAreAskedForAgain(t *testing.T) {
 	const revision = 10
 	core, upstream := follower(t, revision)
@@ -62,6 +63,6 @@
 		asked += len(messages)
 	}
 	if asked < 2 || asked > 10 {
-		t.Errorf("asked %d times in a second, want a few times", asked)
+		t.Errorf("%d requests in a second, want 2 to 10", asked)
 	}
 }
--- a/internal/feed/upstream.go
+++ b/internal/feed/upstream.go
@@ -6,22 +6,22 @@
 	"github.com/micahaven/micahaven/internal/topo"
 )
 
-// This file decides which node this one follows, and takes in what that one tells.
+// This file selects the node that this one follows and processes the messages from it.
 
-// chooseUpstream turns to the preferred one of the upstreams that did not fail lately,
-// or else to the one that is to be tried again first.
-func (f *Feed) chooseUpstream(now time.Duration) {
-	if len(f.upstreams) == 0 || f.root && !f.storeLost(now) {
+// selectUpstream selects the most preferred upstream that is not in backoff, or else the one whose
+// backoff ends first.
+func (f *Feed) selectUpstream(now time.Duration) {
+	if len(f.upstreams) == 0 || f.root && !f.storeUnreachable(now) {
 		f.following = false
 		return
 	}
 	chosen := f.upstreams[0]
 	for _, candidate := range f.upstreams {
-		if f.avoided[candidate.Address] <= now {
+		if f.backoffUntil[candidate.Address] <= now {
 			chosen = candidate
 			break
 		}
-		if f.avoided[candidate.Address] < f.avoided[chosen.Address] {
+		if f.backoffUntil[candidate.Address] < f.backoffUntil[chosen.Address] {
 			chosen = candidate
 		}
 	}
@@ -29,24 +29,24 @@
 		return
 	}
 	f.upstream, f.following, f.upstreamSince = chosen, true, now
-	f.heard, f.behind = false, false
-	f.followAt = now
+	f.heartbeatReceived, f.behind = false, false
+	f.nextFollowAt = now
 }
 
-// upstreamFailed reports whether the upstream is silent or knows nothing newer than
-// what this node should know.
+// upstreamFailed reports whether the upstream has stopped sending heartbeats or its confirmation is
+// too old.
 func (f *Feed) upstreamFailed(now time.Duration) bool {
-	patience := tryPatience
+	timeout := nextUpstreamTimeout
 	if f.failures == 0 {
-		patience = joinPatience
+		timeout = firstUpstreamTimeout
 	}
-	if !f.heard {
-		return now-f.upstreamSince > patience
+	if !f.heartbeatReceived {
+		return now-f.upstreamSince > timeout
 	}
-	if now-f.heardAt > silence {
+	if now-f.lastHeartbeatAt > heartbeatTimeout {
 		return true
 	}
-	return now-f.upstreamConfirmedAt > f.switchAge() && now-f.upstreamSince > patience
+	return now-f.upstreamConfirmedAt > f.switchAge() && now-f.upstreamSince > timeout
 }
 
 func (f *Feed) switchAge() time.Duration {
@@ -56,96 +56,96 @@
 	return switchAge
 }
 
-// storeLost reports whether the root's own calls to the store have had no answer for
-// some time, so that it has to follow another node meanwhile.
-func (f *Feed) storeLost(now time.Duration) bool {
-	return f.passes && now-f.passedAt > headSwitchAge
+// storeUnreachable reports whether the root's own store calls have not been answered recently, so
+// that it has to follow another node for now.
+func (f *Feed) storeUnreachable(now time.Duration) bool {
+	return f.relayConfirmed && now-f.relayConfirmedAt > headSwitchAge
 }
 
-// leaveUpstream turns to another upstream, if there is one.
-func (f *Feed) leaveUpstream(now time.Duration) {
+// abandonUpstream puts the upstream into backoff and selects another one, if there is any.
+func (f *Feed) abandonUpstream(now time.Duration) {
 	f.failures++
-	f.avoided[f.upstream.Address] = now + avoidance
-	f.reviewAt = now + avoidance
-	f.chooseUpstream(now)
+	f.backoffUntil[f.upstream.Address] = now + upstreamBackoff
+	f.reselectAt = now + upstreamBackoff
+	f.selectUpstream(now)
 }
 
-// followPause is the pause between two requests to follow.
-func (f *Feed) followPause() time.Duration {
-	if f.heard {
+// followDelay returns the time until the next follow request.
+func (f *Feed) followDelay() time.Duration {
+	if f.heartbeatReceived {
 		return followInterval
 	}
 	return firstFollowInterval
 }
 
-// Upstream returns the node that this one follows, or false.
+// Upstream returns the node that this one follows, or false if it follows none.
 func (f *Feed) Upstream() (Member, bool) { return f.upstream, f.following }
 
-// Compares reports whether this node is to compare its copy with the store's
-// revision: the root does, and a head that had to take its place.
+// Compares reports whether this node compares its copy with the store's revision. The root does,
+// and so does a head that had to take its place.
 func (f *Feed) Compares(now time.Duration) bool { return f.root || f.head && f.Watching(now) }
 
-// Watching reports whether this node has to watch the store itself: it is to, or
-// it cannot rely on its upstream.
+// Watching reports whether this node has to watch the store itself, because it is the root or
+// cannot rely on its upstream.
 func (f *Feed) Watching(now time.Duration) bool {
 	if f.root || !f.following {
 		return true
 	}
-	if !f.joined || f.confirmedAge(now) > maxAge {
+	if !f.hasCopy || f.confirmedAge(now) > maxConfirmationAge {
 		return true
 	}
-	if f.failures >= min(triesBeforeStore, len(f.upstreams)) {
+	if f.failures >= min(maxUpstreamFailures, len(f.upstreams)) {
 		return true
 	}
-	return f.behind && now-f.behindSince > lagLimit
+	return f.behind && now-f.behindSince > maxLag
 }
 
-func (f *Feed) stepHeartbeat(now time.Duration, from string, heartbeat *Heartbeat) {
+func (f *Feed) handleHeartbeat(now time.Duration, from string, heartbeat *Heartbeat) {
 	if !f.following || from != f.upstream.Address {
 		return
 	}
-	f.heard, f.heardAt = true, now
+	f.heartbeatReceived, f.lastHeartbeatAt = true, now
 	f.upstreamRevision = heartbeat.Revision
 	f.upstreamConfirmedAt = now - heartbeat.ConfirmedAge
 	if heartbeat.ConfirmedAge <= f.switchAge() {
 		f.failures = 0
 	}
-	f.updateBehind(now)
+	f.updateLag(now)
 }
 
-// updateBehind takes in whether the upstream has changes that this node lacks. If not,
-// what confirms the upstream's copy confirms this one.
-func (f *Feed) updateBehind(now time.Duration) {
-	if f.following && f.heard {
+// updateLag recomputes whether the upstream has changes that this node lacks. If it has none, the
+// upstream's confirmation also applies to this node's copy.
+func (f *Feed) updateLag(now time.Duration) {
+	if f.following && f.heartbeatReceived {
 		f.confirm(f.upstreamConfirmedAt, f.upstreamRevision, !f.root)
 	}
-	behind := f.following && f.heard && f.revision < f.upstreamRevision
+	behind := f.following && f.heartbeatReceived && f.revision < f.upstreamRevision
 	if behind && !f.behind {
 		f.behindSince = now
-		// Ask for what is missing at once.
-		f.followAt = now
+		// Request the missing changes at once.
+		f.nextFollowAt = now
 	}
 	f.behind = behind
 }
 
-func (f *Feed) stepBatch(now time.Duration, from string, batch *topo.Batch) ([]Message, *topo.Batch) {
+func (f *Feed) handleBatch(now time.Duration, from string, batch *topo.Batch) ([]Message, *topo.Batch) {
 	if !f.following || from != f.upstream.Address || batch.Revision <= f.revision {
 		return nil, nil
 	}
 	if batch.After > f.revision {
-		return f.askForMissed(now), nil
+		return f.requestMissed(now), nil
 	}
 	return nil, batch
 }
 
-// askForMissed asks the upstream for all changes since this node's copy. It does so once
-// in missedPause: each request brings all of them again, so that one for each change that
-// comes meanwhile would multiply them.
-func (f *Feed) askForMissed(now time.Duration) []Message {
-	if now < f.askMissedAt {
+// requestMissed requests from the upstream all changes after this node's revision, at most once per
+// resyncInterval: each request causes all of them to be sent again, so one request per incoming
+// change would multiply the traffic.
+func (f *Feed) requestMissed(now time.Duration) []Message {
+	if now < f.nextResyncAt {
 		return nil
 	}
-	f.askMissedAt = now + missedPause
-	f.followAt = now + followInterval
+	f.nextResyncAt = now + resyncInterval
+	f.nextFollowAt = now + followInterval
 	return []Message{{To: f.upstream.Address, Follow: &Follow{Revision: f.revision}}}
 }
--- a/internal/mirror/freshness.go
+++ b/internal/mirror/freshness.go
@@ -11,40 +11,40 @@
 	"github.com/micahaven/micahaven/internal/topo"
 )
 
-// Schedule says how long to wait before the next comparison with the store's
-// revision, and whether to make it then.
+// Schedule returns how long to wait before the next comparison with the store's revision, and
+// whether to make it then.
 type Schedule func() (pause time.Duration, compare bool)
 
-// CheckFreshness compares the copy with the store's revision until the context
-// ends: a watch may be cut off, or stay silent although there were changes,
-// without an error. It passes each revision that the store had to found, before
-// this node has caught up with it.
-func (m *Mirror) CheckFreshness(ctx context.Context, schedule Schedule, found func(revision int64)) error {
+// CheckFreshness compares the copy with the store's revision until the context ends, because a
+// watch may be cut off, or miss changes, without an error. It calls onRevision with each revision
+// read from the store, before this node has caught up with it.
+func (m *Mirror) CheckFreshness(ctx context.Context, schedule Schedule, onRevision func(revision int64)) error {
 	for {
-		// Without a copy there is nothing to compare, and what is due then is done by the
-		// first list: each node of a system that starts would ask once.
-		known := m.hasCopy()
+		// Without a copy there is nothing to compare, and the first list makes the comparison that
+		// is due at that time unnecessary. Otherwise every node would read the revision once when a
+		// whole system starts.
+		hadCopy := m.hasCopy()
 		pause, compare := schedule()
 		spread := 0.8 + 0.4*rand.Float64()
 		periodic.Pause(ctx, time.Duration(spread*float64(pause)))
 		if ctx.Err() != nil {
 			return nil
 		}
-		if !compare || !known {
+		if !compare || !hadCopy {
 			continue
 		}
 		sentAt := time.Now()
 		current, err := m.store.Revision(ctx)
 		countCall("revision", err)
 		if err != nil {
-			periodic.Pause(ctx, maxRetryPause/2)
+			periodic.Pause(ctx, maxRetryDelay/2)
 			continue
 		}
 		m.observer.Confirmed(sentAt, current)
-		found(current)
+		onRevision(current)
 		if topo.EraOf(current) > topo.EraOf(m.Revision()) {
-			// No watch can bring it.
-			m.listAgain(current)
+			// A watch cannot continue into another era.
+			m.scheduleRelist(current)
 			m.Resume()
 			continue
 		}
@@ -52,26 +52,26 @@
 	}
 }
 
-// CatchUp makes sure that the copy reaches a revision that the store surely had. What
-// does not come by itself is asked for with a new watch, and if that brings nothing
-// either, the copy is made anew. It reports whether that had to be done.
+// CatchUp ensures that the copy reaches a revision that the store is known to have had. Changes
+// that do not arrive in time are requested with a new watch; if that does not bring them either,
+// the copy is loaded again. It reports whether it had to be loaded again.
 func (m *Mirror) CatchUp(ctx context.Context, revision int64) bool {
 	if revision <= m.Revision() {
 		return false
 	}
-	// Give the watch the time that it normally takes.
-	periodic.Pause(ctx, freshnessSlack)
+	// Wait as long as a watch normally takes.
+	periodic.Pause(ctx, maxWatchDelay)
 	if m.Revision() >= revision || ctx.Err() != nil {
 		return false
 	}
-	m.watchAgain(revision)
-	periodic.Pause(ctx, freshnessSlack)
+	m.restartWatch(revision)
+	periodic.Pause(ctx, maxWatchDelay)
 	seen := m.Revision()
 	if seen >= revision || ctx.Err() != nil {
 		return false
 	}
 	m.logger.Warn("watch is silent, listing again", zap.Int64("revision", seen), zap.Int64("store", revision))
-	m.listAgain(revision)
+	m.scheduleRelist(revision)
 	m.Resume()
 	return true
 }
@@ -79,32 +79,32 @@
 func (m *Mirror) hasCopy() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.listed
+	return m.synced
 }
 
-func (m *Mirror) stopAwaiting() {
+func (m *Mirror) clearWatchRevision() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.awaited = 0
+	m.watchRevision = 0
 }
 
-// watchAgain asks the store for the changes up to a revision with a new watch.
-func (m *Mirror) watchAgain(revision int64) {
+// restartWatch requests the changes up to a revision with a new watch.
+func (m *Mirror) restartWatch(revision int64) {
 	m.mutex.Lock()
-	m.awaited = max(m.awaited, revision)
+	m.watchRevision = max(m.watchRevision, revision)
 	m.mutex.Unlock()
 	m.Resume()
 }
 
-func (m *Mirror) mustWatch() bool {
+func (m *Mirror) needsWatch() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.awaited > m.revision
+	return m.watchRevision > m.revision
 }
 
-// gaps returns how many revisions a watch of all keys passed over: each revision
-// is a change of at least one key.
-func gaps(events []topo.Event, after, at int64) int64 {
+// countMissing returns how many revisions are missing from the result of a watch of all keys: each
+// revision changes at least one key.
+func countMissing(events []topo.Event, after, at int64) int64 {
 	seen := make(map[int64]struct{}, len(events))
 	for _, event := range events {
 		seen[event.Revision] = struct{}{}
--- a/internal/mirror/list.go
+++ b/internal/mirror/list.go
@@ -14,26 +14,26 @@
 type Copy struct {
 	Items    []topo.Item
 	Revision int64
-	// ConfirmedAt is when the store surely had nothing newer.
+	// ConfirmedAt is when the store was last known to have nothing newer.
 	ConfirmedAt time.Time
 }
 
-// Copies gets copies of the store from other nodes, which spares the store a list.
+// Copies fetches copies of the store from other nodes, which saves listing the store.
 type Copies interface {
-	// Copy returns a copy at a revision or a later one, or false if no node gave one.
+	// Copy returns a copy at the given or a later revision, or false if no node supplied one.
 	Copy(ctx context.Context, atLeast int64) (Copy, bool)
 }
 
-// list makes the copy anew: from another node if one has what is wanted, because a
-// list takes a call for each page of keys, and otherwise from the store.
+// list loads the complete copy: from another node if one has the required revision, because listing
+// the store takes one call per page of keys, and otherwise from the store.
 func (m *Mirror) list(ctx context.Context) error {
 	m.mutex.Lock()
-	wanted := m.wanted
+	relistRevision := m.relistRevision
 	m.mutex.Unlock()
-	copied, found := m.copies.Copy(ctx, wanted)
+	copied, found := m.copies.Copy(ctx, relistRevision)
 	countCopy(found)
-	if !found && !m.mustList() {
-		// What was wanted has come from another node meanwhile.
+	if !found && !m.needsList() {
+		// The required revision has arrived from another node in the meantime.
 		return nil
 	}
 	if !found {
@@ -55,21 +55,21 @@
 	}
 	m.Adopt(items, at)
 	m.mutex.Lock()
-	m.wanted = 0
+	m.relistRevision = 0
 	m.mutex.Unlock()
 	m.observer.Confirmed(sentAt, at)
 	return nil
 }
 
-// listAgain makes the store be listed until the copy has reached a revision.
-func (m *Mirror) listAgain(revision int64) {
+// scheduleRelist requests that the copy be loaded again until it has reached a revision.
+func (m *Mirror) scheduleRelist(revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.wanted = max(m.wanted, revision)
+	m.relistRevision = max(m.relistRevision, revision)
 }
 
-// Adopt takes a complete copy, from the store or from another node, unless this
-// one is newer.
+// Adopt replaces the copy with a complete one, from the store or from another node, unless the
+// present one is newer.
 func (m *Mirror) Adopt(items []topo.Item, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -80,41 +80,40 @@
 	}
 	adopted := make(map[string]topo.Item, len(items))
 	for _, item := range items {
-		adopted[item.Key] = asKnown(m.items[item.Key], item)
+		adopted[item.Key] = keepKnownRevision(m.items[item.Key], item)
 	}
 	batch := topo.Batch{After: m.revision, Revision: revision, Events: difference(m.items, adopted, revision)}
-	first := !m.listed
+	first := !m.synced
 	m.items = adopted
 	m.revision = revision
-	m.listed = true
+	m.synced = true
 	if !first && batch.CrossesEras() {
 		m.beginEra()
 	}
-	m.reached()
-	m.dropOffered()
+	m.noteRevision()
+	m.dropOutdatedPushed()
 	if first {
 		m.receiver.Replace(items, revision)
 	} else {
-		// Most entries are as they were; decoding all again would take a small
-		// machine some hundred milliseconds.
-		m.receiver.Apply(m.news(batch.Events), revision)
+		// Most entries are unchanged; decoding all of them again would take a small machine some
+		// hundred milliseconds.
+		m.receiver.Apply(m.applicable(batch.Events), revision)
 	}
 	m.observer.Changed(batch)
 }
 
-// asKnown returns an item of another copy as this node has it, if it is the same change: the
-// store lists what has not changed since an earlier era with a revision of the present one. The
-// earliest revision counts, so that all nodes come to have the same.
-func asKnown(own, item topo.Item) topo.Item {
-	isSame := topo.NumberOf(own.Revision) == topo.NumberOf(item.Revision) && own.Revision < item.Revision && bytes.Equal(own.Value, item.Value)
-	if isSame && own.Revision > 0 {
-		return own
+// keepKnownRevision returns the item of a new copy, or the present one if both are the same change:
+// the store lists keys that have not changed since an earlier era with a revision of the current
+// era. The earliest revision is kept, so that all nodes converge on the same one.
+func keepKnownRevision(current, item topo.Item) topo.Item {
+	isSame := topo.NumberOf(current.Revision) == topo.NumberOf(item.Revision) && current.Revision < item.Revision && bytes.Equal(current.Value, item.Value)
+	if isSame && current.Revision > 0 {
+		return current
 	}
 	return item
 }
 
-// difference returns the changes that lead from one copy to another, which
-// reflects a revision.
+// difference returns the changes that lead from one copy to another copy at the given revision.
 func difference(before, after map[string]topo.Item, revision int64) []topo.Event {
 	var events []topo.Event
 	for key, item := range after {
--- a/internal/mirror/metrics.go
+++ b/internal/mirror/metrics.go
@@ -11,12 +11,12 @@
 		Help: "Calls to the store for the local copy, by kind and result.",
 	}, []string{"call", "result"})
 
-	revisionSeen = promauto.NewGauge(prometheus.GaugeOpts{
+	revisionGauge = promauto.NewGauge(prometheus.GaugeOpts{
 		Name: "micahaven_mirror_revision",
 		Help: "Revision of the store that the local copy reflects.",
 	})
 
-	eraSeen = promauto.NewGauge(prometheus.GaugeOpts{
+	eraGauge = promauto.NewGauge(prometheus.GaugeOpts{
 		Name: "micahaven_mirror_store_era",
 		Help: "Era of the store: how often it was restored from an older copy.",
 	})
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -16,60 +16,60 @@
 )
 
 const (
-	// watchWait is how long a watch waits. A watch that was cut off unnoticed is
-	// found sooner by the node's heartbeat, which calls Resume.
-	watchWait  = 15 * time.Second
-	retryPause = 150 * time.Millisecond
-	// maxRetryPause bounds the pause after repeated failures: each call costs,
-	// refused ones too, and other nodes tell of changes meanwhile.
-	maxRetryPause = 1200 * time.Millisecond
-	// batchPause is the pause after changes, so that those that come together
-	// are told of in one call.
-	batchPause = 200 * time.Millisecond
-	// freshnessSlack is how much later than a change a watch may tell of it.
-	freshnessSlack = batchPause + 150*time.Millisecond
-	// followPause is the pause between two looks at whether the copy has to be
-	// kept by a watch.
-	followPause = 50 * time.Millisecond
+	// watchTimeout is how long a watch call waits for changes. A watch whose connection was lost
+	// unnoticed is detected sooner by the node's heartbeat, which calls Resume.
+	watchTimeout  = 15 * time.Second
+	minRetryDelay = 150 * time.Millisecond
+	// maxRetryDelay limits the delay after repeated failures: each call has a cost, refused ones
+	// included, and meanwhile other nodes send the changes.
+	maxRetryDelay = 1200 * time.Millisecond
+	// batchDelay is the delay after a watch that returned changes, so that changes that occur close
+	// together are returned by one call.
+	batchDelay = 200 * time.Millisecond
+	// maxWatchDelay is the maximum delay with which a working watch normally reports a change.
+	maxWatchDelay = batchDelay + 150*time.Millisecond
+	// followPollInterval is how often the mirror checks whether it has to watch the store.
+	followPollInterval = 50 * time.Millisecond
 )
 
-// Receiver takes in changes. It is called by one goroutine at a time.
+// Receiver applies changes. It is called by one goroutine at a time.
 type Receiver interface {
-	// Replace takes a complete copy.
+	// Replace sets the complete contents.
 	Replace(items []topo.Item, revision int64)
-	// Apply takes changes in order.
+	// Apply applies changes in order.
 	Apply(events []topo.Event, revision int64)
 }
 
-// Observer is told what the mirror learns, and tells it whether to watch.
+// Observer is notified of changes and confirmations of the mirror, and decides whether the mirror
+// watches the store.
 type Observer interface {
-	// Changed is called with each change of the copy, in order, under the mirror's
-	// lock.
+	// Changed is called with each change of the copy, in order, while the mirror's lock is held.
 	Changed(batch topo.Batch)
-	// Restored is called before the first change of a new era: the store was restored from
-	// an older copy, so that keys may be missing for a moment.
+	// Restored is called before the first change of a new era. The store was restored from an older
+	// copy, so keys may be missing for a short time.
 	Restored()
-	// Confirmed is called when the store told this node that it had a revision at a
-	// moment, and Told when another node did.
+	// Confirmed is called when the store reported to this node that it had a revision at the given
+	// time, Told when another node reported it.
 	Confirmed(at time.Time, revision int64)
 	Told(at time.Time, revision int64)
-	// Watching reports whether the mirror has to watch the store. Otherwise
-	// changes come through Take.
+	// Watching reports whether the mirror has to watch the store. Otherwise changes arrive through
+	// Take.
 	Watching() bool
 }
 
-// alone is the observer of a mirror that always watches, and its copies are none.
-type alone struct{}
+// standalone is the default observer, with which the mirror always watches the store, and the
+// default source of copies, which supplies none.
+type standalone struct{}
 
-func (alone) Changed(topo.Batch)         {}
-func (alone) Restored()                  {}
-func (alone) Confirmed(time.Time, int64) {}
-func (alone) Told(time.Time, int64)      {}
-func (alone) Watching() bool             { return true }
+func (standalone) Changed(topo.Batch)         {}
+func (standalone) Restored()                  {}
+func (standalone) Confirmed(time.Time, int64) {}
+func (standalone) Told(time.Time, int64)      {}
+func (standalone) Watching() bool             { return true }
 
-func (alone) Copy(context.Context, int64) (Copy, bool) { return Copy{}, false }
+func (standalone) Copy(context.Context, int64) (Copy, bool) { return Copy{}, false }
 
-// Mirror follows the store. Its copy never goes back to an older revision.
+// Mirror maintains the local copy of the store. The copy never goes back to an older revision.
 type Mirror struct {
 	store    topo.Store
 	receiver Receiver
@@ -78,110 +78,113 @@
 	logger   *zap.Logger
 
 	mutex sync.Mutex
-	// items are the keys as of revision, and ahead those that were offered since and are
-	// newer. Changes are passed on as deltas of items, because all nodes have the same
-	// ones at a revision, and not of what some of them were offered.
+	// items are the keys as of revision, and pushed holds newer items that were received through
+	// Offer since. Changes are sent to followers as deltas of items, which are the same on all
+	// nodes at a given revision, and not of pushed items, which only some nodes have.
 	items    map[string]topo.Item
-	ahead    map[string]topo.Item
+	pushed   map[string]topo.Item
 	revision int64
-	// listed is true once the copy is complete.
-	listed bool
-	// wanted is a revision that the store has and that the watch did not bring; the
-	// copy is made anew until it has reached it. 0 means none.
-	wanted int64
-	// awaited is a revision that the store has and that the copy lacks: until it is
-	// reached the node watches the store, whatever the observer says.
-	awaited int64
-	// lost is true while the store does not answer this node.
-	lost atomic.Bool
-	// era is the store's era that was logged last.
+	// synced is true once the copy is complete.
+	synced bool
+	// relistRevision is a revision that the store has and the watch did not bring; the copy is
+	// loaded again until it has reached it. 0 means that no list is needed.
+	relistRevision int64
+	// watchRevision is a revision that the store has and the copy lacks. Until it is reached the
+	// node watches the store, whatever the observer says.
+	watchRevision int64
+	// unreachable is true while the store does not answer this node.
+	unreachable atomic.Bool
+	// era is the era of the store that was logged last.
 	era atomic.Int64
-	// cancelWatch ends the watch that is waiting.
+	// cancelWatch cancels the current watch call.
 	cancelWatch context.CancelFunc
 }
 
-// New returns a mirror that has nothing yet.
+// New returns a mirror without a copy. It has no observer and no source of copies besides the
+// store.
 func New(store topo.Store, receiver Receiver, logger *zap.Logger) *Mirror {
-	return &Mirror{store: store, receiver: receiver, observer: alone{}, copies: alone{}, logger: logger, items: make(map[string]topo.Item), ahead: make(map[string]topo.Item)}
+	return &Mirror{store: store, receiver: receiver, observer: standalone{}, copies: standalone{}, logger: logger, items: make(map[string]topo.Item), pushed: make(map[string]topo.Item)}
 }
 
 // Observe sets the observer. It must be called before Run.
 func (m *Mirror) Observe(observer Observer) { m.observer = observer }
 
-// TakeFrom sets where copies come from. It must be called before Run.
+// TakeFrom sets the source of copies on other nodes. It must be called before Run.
 func (m *Mirror) TakeFrom(copies Copies) { m.copies = copies }
 
-// Run follows the store until the context ends.
+// Run keeps the copy up to date until the context ends.
 func (m *Mirror) Run(ctx context.Context) error {
-	retry := retryPause
+	retry := minRetryDelay
 	for ctx.Err() == nil {
-		if m.follows() {
-			m.lost.Store(false)
-			retry = retryPause
-			periodic.Pause(ctx, followPause)
+		if m.fedByPeers() {
+			m.unreachable.Store(false)
+			retry = minRetryDelay
+			periodic.Pause(ctx, followPollInterval)
 			continue
 		}
-		err := m.step(ctx)
-		m.logEra()
+		err := m.syncOnce(ctx)
+		m.recordEra()
 		switch {
 		case err == nil:
-			if m.lost.Swap(false) {
+			if m.unreachable.Swap(false) {
 				m.logger.Info("store regained", zap.Int64("revision", m.Revision()))
 			}
-			retry = retryPause
+			retry = minRetryDelay
 			continue
 		case errors.Is(err, topo.ErrCompacted):
 			m.logger.Info("history compacted, listing again", zap.Int64("revision", m.Revision()))
-			m.listAgain(m.Revision() + 1)
+			m.scheduleRelist(m.Revision() + 1)
 			continue
 		case errors.Is(err, topo.ErrRestored):
 			m.logger.Warn("store restored from an older copy, listing again", zap.Int64("revision", m.Revision()), zap.Int64("era", m.store.Era()))
-			m.listAgain(topo.RevisionIn(m.store.Era(), 0))
+			m.scheduleRelist(topo.RevisionIn(m.store.Era(), 0))
 			continue
 		case errors.Is(err, context.Canceled):
 			continue
-		case !m.lost.Swap(true):
+		case !m.unreachable.Swap(true):
 			m.logger.Warn("store lost", zap.Int64("revision", m.Revision()), zap.Error(err))
 		}
-		m.pauseInEra(ctx, retry)
-		retry = min(2*retry, maxRetryPause)
+		m.pauseWithinEra(ctx, retry)
+		retry = min(2*retry, maxRetryDelay)
 	}
 	return nil
 }
 
-// pauseInEra pauses after a failed call, but no longer than until another call has shown that
-// the store answers in a new era.
-func (m *Mirror) pauseInEra(ctx context.Context, length time.Duration) {
+// pauseWithinEra waits after a failed call, but returns early once another call has shown that the
+// store answers in a new era.
+func (m *Mirror) pauseWithinEra(ctx context.Context, length time.Duration) {
 	era := m.store.Era()
 	for end := time.Now().Add(length); ctx.Err() == nil && m.store.Era() == era; {
 		left := time.Until(end)
 		if left <= 0 {
 			return
 		}
-		periodic.Pause(ctx, min(left, followPause))
+		periodic.Pause(ctx, min(left, followPollInterval))
 	}
 }
 
-// logEra logs a new era of the store.
-func (m *Mirror) logEra() {
+// recordEra logs a change of the store's era and sets the metric.
+func (m *Mirror) recordEra() {
 	era := m.store.Era()
 	if before := m.era.Swap(era); before != era {
-		eraSeen.Set(float64(era))
+		eraGauge.Set(float64(era))
 		m.logger.Info("store era", zap.Int64("era", era), zap.Int64("before", before), zap.Int64("revision", m.Revision()))
 	}
 }
 
-// follows reports whether the copy is kept through Take instead of a watch.
-func (m *Mirror) follows() bool { return !m.mustList() && !m.mustWatch() && !m.observer.Watching() }
+// fedByPeers reports whether changes arrive through Take instead of a watch.
+func (m *Mirror) fedByPeers() bool {
+	return !m.needsList() && !m.needsWatch() && !m.observer.Watching()
+}
 
-func (m *Mirror) mustList() bool {
+func (m *Mirror) needsList() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return !m.listed || m.wanted > 0
+	return !m.synced || m.relistRevision > 0
 }
 
-// Resume ends a watch that may have been cut off and asks for the changes since
-// then at once.
+// Resume cancels a watch that may have been cut off, so that the changes since then are requested
+// at once.
 func (m *Mirror) Resume() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -190,24 +193,24 @@
 	}
 }
 
-// Lost reports whether the store does not answer this node.
-func (m *Mirror) Lost() bool { return m.lost.Load() }
+// Lost reports whether the store is not answering this node.
+func (m *Mirror) Lost() bool { return m.unreachable.Load() }
 
-// Revision returns the store's revision that the copy reflects.
+// Revision returns the revision of the store that the copy reflects.
 func (m *Mirror) Revision() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.revision
 }
 
-// Size returns how many keys the copy has.
+// Size returns the number of keys in the copy.
 func (m *Mirror) Size() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return len(m.items)
 }
 
-// Snapshot returns all items and their revision, and false before the first list.
+// Snapshot returns all items and their revision, and false before the first complete copy.
 func (m *Mirror) Snapshot() ([]topo.Item, int64, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -215,94 +218,94 @@
 	for _, item := range m.items {
 		items = append(items, item)
 	}
-	return items, m.revision, m.listed
+	return items, m.revision, m.synced
 }
 
-// reached takes in that the copy is at its revision. The caller holds the mutex.
-func (m *Mirror) reached() {
-	if m.revision >= m.wanted {
-		m.wanted = 0
+// noteRevision updates the state that depends on the copy's revision. The caller holds the mutex.
+func (m *Mirror) noteRevision() {
+	if m.revision >= m.relistRevision {
+		m.relistRevision = 0
 	}
-	revisionSeen.Set(float64(m.revision))
+	revisionGauge.Set(float64(m.revision))
 }
 
-func (m *Mirror) step(ctx context.Context) error {
+func (m *Mirror) syncOnce(ctx context.Context) error {
 	m.mutex.Lock()
 	revision := m.revision
 	watch, cancel := context.WithCancel(ctx)
 	m.cancelWatch = cancel
 	m.mutex.Unlock()
 	defer cancel()
-	if m.mustList() {
+	if m.needsList() {
 		return m.list(ctx)
 	}
-	events, at, err := m.store.Watch(watch, "", revision, watchWait)
+	events, at, err := m.store.Watch(watch, "", revision, watchTimeout)
 	countCall("watch", err)
 	if err != nil {
-		// Without the store, what is awaited can only come from other nodes.
-		m.stopAwaiting()
+		// While the store does not answer, the missing revision can only come from other nodes.
+		m.clearWatchRevision()
 		if watch.Err() != nil && ctx.Err() == nil {
 			return errors.Mark(err, context.Canceled)
 		}
 		return err
 	}
-	if missing := gaps(events, revision, at); missing > 0 {
+	if missing := countMissing(events, revision, at); missing > 0 {
 		m.logger.Warn("watch passed over changes, listing again",
 			zap.Int64("after", revision), zap.Int64("revision", at), zap.Int64("missing", missing))
-		m.listAgain(at)
+		m.scheduleRelist(at)
 		return nil
 	}
 	m.Take(topo.Batch{After: revision, Revision: at, Events: events})
 	m.observer.Confirmed(time.Now(), at)
 	if len(events) > 0 {
-		periodic.Pause(ctx, batchPause)
+		periodic.Pause(ctx, batchDelay)
 	}
 	return nil
 }
 
-// Offer takes one item that a node has just written, ahead of the watch. The
-// copy's revision stays: the watch tells of the same change later. It returns the
-// change with its value and, if that is worth it, its delta, and reports whether
-// it was new.
+// Offer applies an item that a node has just written and that was sent here directly, before the
+// watch reports it. The copy's revision does not change; the watch reports the same change later.
+// It returns the change with its value and, if it is small enough, its delta, and reports whether
+// the change was new.
 func (m *Mirror) Offer(event topo.Event) (topo.Event, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	own, offered := m.ahead[event.Key]
-	if !offered {
-		own = m.items[event.Key]
+	current, wasPushed := m.pushed[event.Key]
+	if !wasPushed {
+		current = m.items[event.Key]
 	}
-	if !m.listed || own.Revision >= event.Revision || event.Revision <= m.revision {
+	if !m.synced || current.Revision >= event.Revision || event.Revision <= m.revision {
 		return event, false
 	}
-	resolved, complete := valueFrom(own, event)
-	if !complete && offered {
-		resolved, complete = valueFrom(m.items[event.Key], event)
+	resolved, complete := resolveFrom(current, event)
+	if !complete && wasPushed {
+		resolved, complete = resolveFrom(m.items[event.Key], event)
 	}
 	if !complete {
 		return event, false
 	}
-	m.ahead[event.Key] = resolved.Item
+	m.pushed[event.Key] = resolved.Item
 	m.receiver.Apply([]topo.Event{{Item: resolved.Item}}, m.revision)
 	return resolved, true
 }
 
-// Take takes all changes between two revisions, from the store or from another
-// node. It does nothing if the copy has not reached the first of them.
+// Take applies all changes between two revisions, from the store or from another node. It does
+// nothing if the copy has not reached the first revision.
 func (m *Mirror) Take(batch topo.Batch) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if !m.listed || batch.Revision < m.revision || batch.After > m.revision {
+	if !m.synced || batch.Revision < m.revision || batch.After > m.revision {
 		return
 	}
 	if batch.CrossesEras() && batch.After != m.revision {
-		// What this copy has beyond the batch's beginning may be lost in the new era.
-		m.wanted = max(m.wanted, batch.Revision)
+		// Changes in this copy after the first revision of the batch may be lost in the new era.
+		m.relistRevision = max(m.relistRevision, batch.Revision)
 		return
 	}
 	fresh, complete := m.resolve(batch.Events)
 	if !complete {
 		m.logger.Warn("change cannot be made from its delta, listing again", zap.Int64("revision", m.revision))
-		m.wanted = max(m.wanted, batch.Revision)
+		m.relistRevision = max(m.relistRevision, batch.Revision)
 		return
 	}
 	for _, event := range fresh {
@@ -317,40 +320,42 @@
 	if batch.CrossesEras() {
 		m.beginEra()
 	}
-	m.reached()
-	if news := m.news(fresh); len(news) > 0 {
-		m.receiver.Apply(news, batch.Revision)
+	m.noteRevision()
+	if applicable := m.applicable(fresh); len(applicable) > 0 {
+		m.receiver.Apply(applicable, batch.Revision)
 	}
 	if batch.Revision > after {
 		m.observer.Changed(topo.Batch{After: after, Revision: batch.Revision, Events: fresh})
 	}
 }
 
-// beginEra drops what was offered in earlier eras. The caller holds the mutex.
+// beginEra drops items that were pushed in earlier eras and notifies the observer. The caller holds
+// the mutex.
 func (m *Mirror) beginEra() {
-	m.dropOffered()
+	m.dropOutdatedPushed()
 	m.observer.Restored()
 }
 
-// dropOffered drops what was offered before the copy's revision. The caller holds the mutex.
-func (m *Mirror) dropOffered() {
-	for key, offered := range m.ahead {
-		if offered.Revision <= m.revision {
-			delete(m.ahead, key)
+// dropOutdatedPushed drops pushed items that are not newer than the copy's revision. The caller
+// holds the mutex.
+func (m *Mirror) dropOutdatedPushed() {
+	for key, item := range m.pushed {
+		if item.Revision <= m.revision {
+			delete(m.pushed, key)
 		}
 	}
 }
 
-// news returns those of some changes that are no older than what was offered of their
-// keys. What was offered is not ahead any more then. The caller holds the mutex.
-func (m *Mirror) news(events []topo.Event) []topo.Event {
-	news := make([]topo.Event, 0, len(events))
+// applicable returns the changes that are not older than the pushed item of their key, and drops
+// these pushed items. The caller holds the mutex.
+func (m *Mirror) applicable(events []topo.Event) []topo.Event {
+	applicable := make([]topo.Event, 0, len(events))
 	for _, event := range events {
-		if m.ahead[event.Key].Revision > event.Revision {
+		if m.pushed[event.Key].Revision > event.Revision {
 			continue
 		}
-		delete(m.ahead, event.Key)
-		news = append(news, event)
+		delete(m.pushed, event.Key)
+		applicable = append(applicable, event)
 	}
-	return news
+	return applicable
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -14,7 +14,7 @@
 	"github.com/micahaven/micahaven/internal/topo/memory"
 )
 
-// recorder keeps what a mirror tells its receiver.
+// recorder is a receiver that stores the values it is given.
 type recorder struct {
 	mutex  sync.Mutex
 	values map[string]string
@@ -51,8 +51,8 @@
 
 func (r *recorder) waitFor(t *testing.T, key, value string) {
 	t.Helper()
-	const patience = 5 * time.Second
-	deadline := time.Now().Add(patience)
+	const timeout = 5 * time.Second
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		if r.value(key) == value {
 			return
@@ -106,8 +106,8 @@
 	received.waitFor(t, "a", "")
 }
 
-// A watch that hears nothing of changes and is never cut must not leave the copy
-// old: seen as CONFIG broken on hunted days with a compaction of the store.
+// Guards against an outdated copy when a watch reports no changes and is never cut off. Observed as
+// violations of the rule CONFIG in soak runs with a compaction of the store.
 func TestNoticesWatchThatStaysSilent(t *testing.T) {
 	store := memory.New()
 	store.Write("a", []byte("1"))
@@ -118,8 +118,8 @@
 	received.waitFor(t, "a", "2")
 }
 
-// A node that is told of a revision by another one must not wait for its own
-// comparison: seen as CONFIG broken on the day 'compaction' with seed 31.
+// A node that learns of a revision from another node must not wait for its own comparison. Observed
+// as a violation of the rule CONFIG in the soak scenario 'compaction' with seed 31.
 func TestCatchesUpWithWhatAnotherNodeSaw(t *testing.T) {
 	store := memory.New()
 	store.Write("a", []byte("1"))
@@ -134,16 +134,16 @@
 	store.SetFaults(memory.Faults{Deaf: true})
 	revision := store.Write("a", []byte("2"))
 	if !m.CatchUp(ctx, revision) {
-		t.Fatal("the copy is old and CatchUp did not notice")
+		t.Fatal("CatchUp did not detect that the copy is outdated")
 	}
 	received.waitFor(t, "a", "2")
 	if m.CatchUp(ctx, revision) {
-		t.Fatal("the copy is new and CatchUp listed again")
+		t.Fatal("CatchUp listed again although the copy is current")
 	}
 }
 
-// Seen on umurage-gw-grown scale-1: a configuration of some hundred KB, passed on
-// whole to each node, filled the links, and heartbeats waited behind it.
+// A configuration of some hundred KB that was sent whole to each node filled the links and delayed
+// the heartbeats behind it (scenario umurage-gw-grown scale-1).
 func TestLargeValuesArePassedOnAsDeltas(t *testing.T) {
 	store := memory.New()
 	large := func(version string) string {
@@ -154,9 +154,9 @@
 		return text
 	}
 	store.Write("config", []byte(large("1")))
-	first, passed := newRecorder(), make(chan topo.Batch, 16)
+	first, sent := newRecorder(), make(chan topo.Batch, 16)
 	watcher := mirror.New(store, first, zap.NewNop())
-	watcher.Observe(observer{changed: passed, watching: true})
+	watcher.Observe(observer{changed: sent, watching: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = watcher.Run(ctx) }()
@@ -167,20 +167,20 @@
 	follower.Observe(observer{changed: make(chan topo.Batch, 16)})
 	go func() { _ = follower.Run(ctx) }()
 	second.waitFor(t, "config", large("1"))
-	<-passed
+	<-sent
 
 	store.Write("config", []byte(large("2")))
-	batch := <-passed
+	batch := <-sent
 	if len(batch.Events) != 1 || len(batch.Events[0].Delta) == 0 || len(batch.Events[0].Delta) > 100 {
-		t.Fatalf("passed on: %d changes, delta of %d bytes", len(batch.Events), len(batch.Events[0].Delta))
+		t.Fatalf("sent to followers: %d changes, delta of %d bytes", len(batch.Events), len(batch.Events[0].Delta))
 	}
 	batch.Events[0].Value = nil
 	follower.Take(batch)
 	second.waitFor(t, "config", large("2"))
 
-	// A delta that does not fit makes the follower list the store again.
+	// A delta with another base makes the follower list the store again.
 	store.Write("config", []byte(large("3")))
-	next := <-passed
+	next := <-sent
 	next.Events[0].Value = nil
 	next.Events[0].BaseRevision--
 	next.Events[0].Revision++
@@ -199,8 +199,8 @@
 func (o observer) Told(time.Time, int64)      {}
 func (o observer) Watching() bool             { return o.watching }
 
-// The sweep at 300 machines paid a third of a day's worth for owner maps that were
-// pushed whole to other zones.
+// In the sweep at 300 machines, sending owner maps whole to other zones cost a third of the worth
+// (score) of a day.
 func TestOfferedItemsArePassedOnAsDeltas(t *testing.T) {
 	store := memory.New()
 	large := func(version string) []byte {
@@ -215,11 +215,11 @@
 	var receivers []*recorder
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	passed := make(chan topo.Batch, 16)
+	sent := make(chan topo.Batch, 16)
 	for range 2 {
 		receiver := newRecorder()
 		copied := mirror.New(store, receiver, zap.NewNop())
-		copied.Observe(observer{changed: passed})
+		copied.Observe(observer{changed: sent})
 		go func() { _ = copied.Run(ctx) }()
 		receiver.waitFor(t, "map", string(large("1")))
 		copies, receivers = append(copies, copied), append(receivers, receiver)
@@ -231,29 +231,29 @@
 	}
 	event.Value = nil
 	if _, isNew := copies[1].Offer(event); !isNew {
-		t.Fatal("the delta was not taken")
+		t.Fatal("the delta was not applied")
 	}
 	receivers[1].waitFor(t, "map", string(large("2")))
-	// The watch tells of the same change later; it too goes on as a delta.
-	<-passed
-	<-passed
+	// The watch reports the same change later; it is also sent on as a delta.
+	<-sent
+	<-sent
 	watched := topo.Event{Item: topo.Item{Key: "map", Value: large("2"), Revision: revision}}
 	copies[0].Take(topo.Batch{After: 1, Revision: revision, Events: []topo.Event{watched}})
-	if batch := <-passed; len(batch.Events) != 1 || len(batch.Events[0].Delta) == 0 {
-		t.Fatalf("the watched change went on without its delta: %d changes", len(batch.Events))
+	if batch := <-sent; len(batch.Events) != 1 || len(batch.Events[0].Delta) == 0 {
+		t.Fatalf("the watched change was sent on without its delta: %d changes", len(batch.Events))
 	}
-	// Nobody takes a delta that does not fit, or an item twice.
+	// A delta with another base and an item that is already known are rejected.
 	if _, again := copies[1].Offer(event); again {
-		t.Fatal("an item was taken twice")
+		t.Fatal("an item was applied twice")
 	}
 	event.Revision, event.BaseRevision = revision+2, revision+1
 	if _, unfit := copies[1].Offer(event); unfit {
-		t.Fatal("a delta from another base was taken")
+		t.Fatal("a delta from another base was applied")
 	}
 }
 
-// A node that follows others and is told of a change that they do not bring asks the
-// store for the change, and not for all keys.
+// A node that follows others and learns of a change that they do not send requests that change from
+// the store, and not all keys.
 func TestWhatOthersDoNotBringIsAskedForWithAWatch(t *testing.T) {
 	store := memory.New()
 	store.Write("a", []byte("1"))
@@ -269,7 +269,7 @@
 	lists := store.Calls("list")
 	revision := store.Write("a", []byte("2"))
 	if m.CatchUp(ctx, revision) {
-		t.Error("the copy was made anew although a watch brings the change")
+		t.Error("the copy was loaded again although a watch returns the change")
 	}
 	received.waitFor(t, "a", "2")
 	if more := store.Calls("list") - lists; more != 0 {
@@ -277,8 +277,8 @@
 	}
 }
 
-// Seen after a loss of power: each of 78 nodes asked the store for its revision before its
-// first list, which tells it too.
+// After a power loss, each of 78 nodes read the store's revision before its first list, which
+// returns the revision too.
 func TestNodeWithoutACopyComparesNothing(t *testing.T) {
 	store := memory.New()
 	m := mirror.New(store, newRecorder(), zap.NewNop())
@@ -297,13 +297,13 @@
 		defer close(ended)
 		_ = m.CheckFreshness(ctx, schedule, func(int64) {})
 	}()
-	// Each time that the schedule is asked, what it said before was done.
+	// When the schedule is called again, the action that it returned before is complete.
 	const looks = 5
 	for range looks {
 		<-due
 	}
 	if calls := store.Calls("revision"); calls != 0 {
-		t.Errorf("the store was asked for its revision %d times before the first list", calls)
+		t.Errorf("the store's revision was read %d times before the first list", calls)
 	}
 	m.Adopt(nil, 1)
 	for range looks {
@@ -316,8 +316,8 @@
 	<-ended
 }
 
-// The copy may come between the look at whether a comparison is due and the comparison:
-// the list has just told what it would ask.
+// The first copy may arrive after a comparison became due and before it is made; the list has just
+// returned the revision that the comparison would read.
 func TestComparisonDueBeforeTheFirstCopyIsNotMade(t *testing.T) {
 	store := memory.New()
 	m := mirror.New(store, newRecorder(), zap.NewNop())
@@ -337,6 +337,6 @@
 		t.Fatal(err)
 	}
 	if calls := store.Calls("revision"); calls != 0 {
-		t.Errorf("the store was asked for its revision %d times right after the first list", calls)
+		t.Errorf("the store's revision was read %d times right after the first list", calls)
 	}
 }
--- a/internal/mirror/ahead_test.go
+++ b/internal/mirror/pushed_test.go
@@ -12,7 +12,7 @@
 	"github.com/micahaven/micahaven/internal/topo/memory"
 )
 
-// largeMap is a value of a size that is passed on as a delta.
+// largeMap returns a value large enough to be sent as a delta.
 func largeMap(version int64) []byte {
 	text := fmt.Sprintf(`{"version":%d}`, version)
 	for index := range 200 {
@@ -25,43 +25,43 @@
 	return topo.Event{Item: topo.Item{Key: "map", Value: largeMap(revision), Revision: revision}}
 }
 
-// startCopy returns a mirror that has the map at the store's revision, what its receiver
-// saw, and what it passes on.
+// startCopy returns a mirror that has the map at the store's revision, the recorder of its
+// receiver, and the batches that it sends to followers.
 func startCopy(t *testing.T, store topo.Store) (*mirror.Mirror, *recorder, chan topo.Batch) {
 	t.Helper()
-	received, passed := newRecorder(), make(chan topo.Batch, 16)
+	received, sent := newRecorder(), make(chan topo.Batch, 16)
 	copied := mirror.New(store, received, zap.NewNop())
-	copied.Observe(observer{changed: passed})
+	copied.Observe(observer{changed: sent})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = copied.Run(ctx) }()
 	received.waitFor(t, "map", string(largeMap(1)))
-	<-passed
-	return copied, received, passed
+	<-sent
+	return copied, received, sent
 }
 
-// Seen on a hunted day of kervran-hq-grown: a node was offered two maps ahead of its
-// watch, and passed the change on as the difference between the two. Nodes that had been
-// offered none of them could not make it, and forty of them took whole copies at once.
+// A node that had been sent two maps directly, before its watch, must not send the change on as the
+// difference between the two: nodes that had received neither could not apply it, and forty of them
+// loaded complete copies at once (soak search on kervran-hq-grown).
 func TestChangesFitNodesThatWereOfferedNothing(t *testing.T) {
 	cases := map[string][]topo.Event{
-		"watch tells of both":          {mapEvent(2), mapEvent(3)},
-		"watch tells of the last only": {mapEvent(3)},
+		"watch reports both":          {mapEvent(2), mapEvent(3)},
+		"watch reports only the last": {mapEvent(3)},
 	}
 	for name, watched := range cases {
 		t.Run(name, func(t *testing.T) {
 			store := memory.New()
 			store.Write("map", largeMap(1))
-			upstream, _, passed := startCopy(t, store)
+			upstream, _, sent := startCopy(t, store)
 			follower, received, _ := startCopy(t, store)
 			lists := store.Calls("list")
 			for revision := int64(2); revision <= 3; revision++ {
 				if _, isNew := upstream.Offer(mapEvent(revision)); !isNew {
-					t.Fatal("the offer was not taken")
+					t.Fatal("the offer was not applied")
 				}
 			}
 			upstream.Take(topo.Batch{After: 1, Revision: 3, Events: watched})
-			batch := <-passed
+			batch := <-sent
 			for index := range batch.Events {
 				if batch.Events[index].Delta != nil {
 					batch.Events[index].Value = nil
@@ -78,22 +78,21 @@
 	}
 }
 
-// What a node was offered ahead of the watch is not taken back by changes, or by a whole
-// copy, that are older.
+// Items that were received directly are not reverted by older changes or by an older complete copy.
 func TestOffersAreNotTakenBackByOlderChanges(t *testing.T) {
 	store := memory.New()
 	store.Write("map", largeMap(1))
 	copied, received, _ := startCopy(t, store)
 	if _, isNew := copied.Offer(mapEvent(4)); !isNew {
-		t.Fatal("the offer was not taken")
+		t.Fatal("the offer was not applied")
 	}
 	copied.Take(topo.Batch{After: 1, Revision: 2, Events: []topo.Event{mapEvent(2)}})
 	if got := received.value("map"); got != string(largeMap(4)) {
-		t.Errorf("a change took version 4 back to %.14q", got)
+		t.Errorf("a change reverted version 4 to %.14q", got)
 	}
 	copied.Adopt([]topo.Item{mapEvent(3).Item}, 3)
 	if got := received.value("map"); got != string(largeMap(4)) {
-		t.Errorf("a copy took version 4 back to %.14q", got)
+		t.Errorf("a copy reverted version 4 to %.14q", got)
 	}
 	copied.Take(topo.Batch{After: 3, Revision: 5, Events: []topo.Event{mapEvent(5)}})
 	if got := received.value("map"); got != string(largeMap(5)) {
@@ -101,13 +100,13 @@
 	}
 }
 
-// A copy that another node takes from this one is as of its revision.
+// A snapshot for another node contains no items newer than its revision.
 func TestSnapshotsHoldWhatWasSettled(t *testing.T) {
 	store := memory.New()
 	store.Write("map", largeMap(1))
 	copied, _, _ := startCopy(t, store)
 	if _, isNew := copied.Offer(mapEvent(4)); !isNew {
-		t.Fatal("the offer was not taken")
+		t.Fatal("the offer was not applied")
 	}
 	items, revision, _ := copied.Snapshot()
 	if len(items) != 1 || items[0].Revision > revision {
@@ -115,8 +114,8 @@
 	}
 }
 
-// Whoever is offered a change as a delta can make it from what was offered before, or
-// from what was settled.
+// A node that is sent a delta directly can apply it to an item that it was sent before, or to the
+// item in its copy.
 func TestOffersAreMadeFromWhatIsKnown(t *testing.T) {
 	store := memory.New()
 	store.Write("map", largeMap(1))
@@ -128,8 +127,8 @@
 			t.Fatalf("new %v, delta of %d bytes", isNew, len(event.Delta))
 		}
 		event.Value = nil
-		if _, taken := receiver.Offer(event); !taken {
-			t.Errorf("version %d was not taken", revision)
+		if _, applied := receiver.Offer(event); !applied {
+			t.Errorf("version %d was not applied", revision)
 		}
 	}
 	received.waitFor(t, "map", string(largeMap(3)))
--- a/internal/mirror/resolve.go
+++ b/internal/mirror/resolve.go
@@ -5,24 +5,23 @@
 	"github.com/micahaven/micahaven/internal/topo"
 )
 
-// minDelta is the size from which a value gets a delta, so that nodes which follow
-// this one need not be sent all of it.
-const minDelta = 1 << 10
+// minDeltaSize is the value size from which a delta is computed, so that followers of this node
+// need not be sent the whole value.
+const minDeltaSize = 1 << 10
 
-// resolve returns those of some changes that are newer than the copy, with their
-// values and deltas. It reports false if a value cannot be made. The caller holds
-// the mutex.
+// resolve returns the changes that are newer than the copy, with their values and deltas. It
+// returns false if a value cannot be reconstructed. The caller holds the mutex.
 func (m *Mirror) resolve(events []topo.Event) ([]topo.Event, bool) {
 	fresh := make([]topo.Event, 0, len(events))
 	pending := make(map[string]topo.Item)
 	for _, event := range events {
-		own, changed := pending[event.Key]
+		current, changed := pending[event.Key]
 		if !changed {
-			own = m.items[event.Key]
+			current = m.items[event.Key]
 		}
-		// A listing is no snapshot: it may hold later changes than the revision
-		// that the watch continues from.
-		if own.Revision > event.Revision {
+		// A list is not a snapshot: it may contain changes later than the revision from which the
+		// watch continues.
+		if current.Revision > event.Revision {
 			continue
 		}
 		if event.Deleted {
@@ -30,7 +29,7 @@
 			fresh = append(fresh, event)
 			continue
 		}
-		resolved, complete := m.valueOf(own, event)
+		resolved, complete := m.resolveEvent(current, event)
 		if !complete {
 			return nil, false
 		}
@@ -40,42 +39,43 @@
 	return fresh, true
 }
 
-// valueOf completes a change of an item, which this node has as own at the copy's
-// revision. The caller holds the mutex.
-func (m *Mirror) valueOf(own topo.Item, event topo.Event) (topo.Event, bool) {
-	offered := m.ahead[event.Key]
-	if offered.Revision != event.Revision {
-		return valueFrom(own, event)
+// resolveEvent completes a change of an item, given the item at the copy's revision. The caller
+// holds the mutex.
+func (m *Mirror) resolveEvent(current topo.Item, event topo.Event) (topo.Event, bool) {
+	pushedItem := m.pushed[event.Key]
+	if pushedItem.Revision != event.Revision {
+		return resolveFrom(current, event)
 	}
-	// The value is known; what is passed on is a delta from what other nodes have.
-	event.Value = offered.Value
-	if event.BaseRevision != own.Revision {
+	// The value is known from the pushed item. Followers are sent a delta from the item that they
+	// have.
+	event.Value = pushedItem.Value
+	if event.BaseRevision != current.Revision {
 		event.Delta = nil
 	}
-	return withDelta(own, event), true
+	return withDelta(current, event), true
 }
 
-// valueFrom completes a change of an item from what a node has of it. It reports false
-// if the change has a delta from something else.
-func valueFrom(own topo.Item, event topo.Event) (topo.Event, bool) {
+// resolveFrom completes a change of an item, given a known version of it. It returns false if the
+// delta of the change has another base.
+func resolveFrom(current topo.Item, event topo.Event) (topo.Event, bool) {
 	switch {
 	case event.Value != nil || event.Delta == nil:
-		return withDelta(own, event), true
-	case own.Revision == event.Revision:
-		event.Value = own.Value
+		return withDelta(current, event), true
+	case current.Revision == event.Revision:
+		event.Value = current.Value
 		return event, true
-	case own.Revision != event.BaseRevision:
+	case current.Revision != event.BaseRevision:
 		return event, false
 	}
-	value, err := delta.Apply(own.Value, event.Delta)
+	value, err := delta.Apply(current.Value, event.Delta)
 	event.Value = value
 	return event, err == nil
 }
 
-// withDelta adds the delta from the value that this node had before, if that is
-// worth it.
+// withDelta adds the delta from the previous value if it is less than half as large as the new
+// value.
 func withDelta(before topo.Item, event topo.Event) topo.Event {
-	if event.Delta != nil || len(event.Value) < minDelta || len(before.Value) < minDelta || before.Revision >= event.Revision {
+	if event.Delta != nil || len(event.Value) < minDeltaSize || len(before.Value) < minDeltaSize || before.Revision >= event.Revision {
 		return event
 	}
 	made := delta.Make(before.Value, event.Value)
--- a/internal/mirror/restored_test.go
+++ b/internal/mirror/restored_test.go
@@ -12,7 +12,8 @@
 	"github.com/micahaven/micahaven/internal/topo/memory"
 )
 
-// restoredStore returns a store with its copy at revision 10, and what was written since.
+// restoredStore returns a store, its saved state at revision 10, and the recorder of a mirror that
+// has also received the later changes.
 func restoredStore(t *testing.T) (*memory.Store, memory.Saved, *recorder) {
 	t.Helper()
 	store := memory.New()
@@ -58,7 +59,7 @@
 	received.waitFor(t, "lost", "")
 }
 
-// adopted returns a mirror that was given a copy, and what its receiver has.
+// adopted returns a mirror with the given copy, and the recorder of its receiver.
 func adopted(items []topo.Item, revision int64) (*mirror.Mirror, *recorder) {
 	received := newRecorder()
 	m := mirror.New(memory.New(), received, zap.NewNop())
@@ -75,11 +76,11 @@
 	// The sender had not reached revision 12 of the first era.
 	m.Take(topo.Batch{After: 11, Revision: topo.RevisionIn(1, 9), Events: []topo.Event{{Item: item("c", "new", topo.RevisionIn(1, 9))}}})
 	if received.value("c") == "new" && received.value("b") == "lost" {
-		t.Fatal("a change of the new era was applied to a copy that has lost changes")
+		t.Fatal("a change of the new era was applied to a copy with changes that were lost")
 	}
 	m.Adopt([]topo.Item{item("a", "kept", topo.RevisionIn(1, 3)), item("c", "new", topo.RevisionIn(1, 9))}, topo.RevisionIn(1, 9))
 	if received.value("b") != "" || received.value("c") != "new" {
-		t.Fatalf("b is %q, c is %q after the copy was made anew", received.value("b"), received.value("c"))
+		t.Fatalf("b is %q, c is %q after the copy was replaced", received.value("b"), received.value("c"))
 	}
 }
 
@@ -100,7 +101,7 @@
 func TestRestoredStoreIsListedWithoutThePauseAfterFailures(t *testing.T) {
 	store, saved, received := restoredStore(t)
 	store.SetFaults(memory.Faults{Down: true})
-	// The pause grows to its longest.
+	// Wait until the retry delay has reached its maximum.
 	time.Sleep(2400 * time.Millisecond)
 	store.Restore(saved)
 	store.SetFaults(memory.Faults{})
--- a/internal/view/builder.go
+++ b/internal/view/builder.go
@@ -15,14 +15,15 @@
 	"github.com/micahaven/micahaven/internal/topo"
 )
 
-// goneMemory is how long a missing server is remembered.
-const goneMemory = 30 * time.Second
+// goneRetention is how long a server whose entry is missing is kept.
+const goneRetention = 30 * time.Second
 
-// Lapse tells until when entries that are missing now may still come back, because
-// the store was away until a moment ago; false if it was not.
+// Lapse returns until when entries that are now missing may be written again, because the store was
+// unavailable until recently, and false if it was not.
 type Lapse func() (until time.Time, lapsed bool)
 
-// Builder follows the store and publishes views. It implements mirror.Receiver.
+// Builder builds views from the items of the store and publishes them. It implements
+// mirror.Receiver.
 type Builder struct {
 	layout    Layout
 	documents Documents
@@ -30,42 +31,42 @@
 	current   atomic.Pointer[View]
 
 	mutex sync.Mutex
-	// What follows up to lapse is the next view.
+	// The fields from revision to evacuations are the state from which the next view is built.
 	revision int64
 	table    *routing.Table
 	servers  *serverIndex
-	// lives holds the newest life of each instance that is in servers.
-	lives    map[string]discovery.ServerID
-	refusals refusedEntries
-	owners   *sharedMap[string, Owners]
-	managers *sharedMap[string, Manager]
-	retired  *sharedMap[string, Retirement]
-	nodes    *sharedIndex[string, Node]
-	// leaving holds when servers were first told to be leaving by what they answered.
+	// incarnations holds the newest incarnation of each instance in servers.
+	incarnations map[string]discovery.ServerID
+	refusals     refusedEntries
+	owners       *copyOnWriteMap[string, Owners]
+	managers     *copyOnWriteMap[string, Manager]
+	retired      *copyOnWriteMap[string, Retirement]
+	nodes        *copyOnWriteIndex[string, Node]
+	// leaving holds when servers first announced in an answer that they are leaving.
 	leaving map[discovery.ServerID]time.Time
-	// evacuations holds zones that are or were evacuated.
-	evacuations *sharedMap[string, Evacuation]
+	// evacuations holds the evacuations in force and those that have ended, by zone.
+	evacuations *copyOnWriteMap[string, Evacuation]
 	lapse       Lapse
-	// started is true once there is a complete copy; until then the servers that
-	// it brings are not logged one by one.
-	started bool
-	// subscribers are called after each change, with the mutex not held.
+	// loaded is true once there is a complete copy; until then, the servers in it are not logged
+	// one by one.
+	loaded bool
+	// subscribers are called after each change, without the mutex held.
 	subscribers []func(*View)
 }
 
-// NewBuilder returns a builder with an empty view.
+// NewBuilder returns a builder whose current view is empty.
 func NewBuilder(layout Layout, documents Documents, logger *zap.Logger) *Builder {
 	b := &Builder{layout: layout, documents: documents, logger: logger}
 	b.lapse = func() (time.Time, bool) { return time.Time{}, false }
 	b.servers = newServerIndex()
-	b.lives = make(map[string]discovery.ServerID)
+	b.incarnations = make(map[string]discovery.ServerID)
 	b.leaving = make(map[discovery.ServerID]time.Time)
 	b.refusals = make(refusedEntries)
-	b.owners = newSharedMap[string, Owners]()
-	b.managers = newSharedMap[string, Manager]()
-	b.retired = newSharedMap[string, Retirement]()
-	b.nodes = newSharedIndex[string, Node]()
-	b.evacuations = newSharedMap[string, Evacuation]()
+	b.owners = newCopyOnWriteMap[string, Owners]()
+	b.managers = newCopyOnWriteMap[string, Manager]()
+	b.retired = newCopyOnWriteMap[string, Retirement]()
+	b.nodes = newCopyOnWriteIndex[string, Node]()
+	b.evacuations = newCopyOnWriteMap[string, Evacuation]()
 	b.publish()
 	return b
 }
@@ -73,12 +74,12 @@
 // Current returns the newest view.
 func (b *Builder) Current() *View { return b.current.Load() }
 
-// SetLapse sets how the builder learns that the store was away. It must be called
-// before the first change; lapse is called with the builder's mutex held.
+// SetLapse sets the function that reports outages of the store. It must be called before the first
+// change; lapse is called with the builder's mutex held.
 func (b *Builder) SetLapse(lapse Lapse) { b.lapse = lapse }
 
-// Subscribe calls changed after each change, on the goroutine that brought it.
-// It must be called before the first change.
+// Subscribe registers a function that is called after each change, on the goroutine that applied
+// it. It must be called before the first change.
 func (b *Builder) Subscribe(changed func(*View)) {
 	b.subscribers = append(b.subscribers, changed)
 }
@@ -92,7 +93,7 @@
 		b.put(item)
 	}
 	b.deleteMissing(present)
-	b.started = true
+	b.loaded = true
 	b.revision = revision
 	published := b.publish()
 	b.mutex.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// putTable takes a newer configuration; a bad one leaves the old in force.
+// putTable applies a configuration if it is newer. An invalid one leaves the present one in force.
 func (b *Builder) putTable(item topo.Item) {
 	spec, err := b.documents.Table(item.Value)
 	if err != nil {
@@ -193,7 +194,7 @@
 		return
 	}
 	evacuation := Evacuation{}
-	if b.started {
+	if b.loaded {
 		evacuation.Since = time.Now()
 	}
 	b.evacuations.put(zone, evacuation)
@@ -207,16 +208,17 @@
 	}
 	known.EndedAt = time.Now()
 	b.evacuations.put(zone, known)
-	b.logger.Info("zone evacuated no more", zap.String("zone", zone))
+	b.logger.Info("zone evacuation ended", zap.String("zone", zone))
 }
 
-// putOwners takes a map that was written after the known one. A restored store may have older
-// ones.
+// putOwners applies an owner map if it was written after the present one. A restored store may
+// contain older ones.
 func (b *Builder) putOwners(item topo.Item) {
 	service, era, _ := OwnersOf(item.Key)
 	before := b.owners.get(service)
 	if item.Revision <= before.Revision {
-		// It came ahead of the watch; decoding it again would cost as much as taking it.
+		// The map was already received directly, before the watch reported it; decoding it again
+		// would cost as much as applying it.
 		return
 	}
 	decoded, err := shards.DecodeOwners(item.Value, before.Owners)
@@ -251,8 +253,8 @@
 	b.retired.put(item.Key, retired)
 }
 
-// TakeRetirement takes in a retirement that its node told directly, ahead of the
-// store.
+// TakeRetirement applies a retirement that the retired node sent directly, before the store reports
+// it.
 func (b *Builder) TakeRetirement(key string, retired Retirement) {
 	b.mutex.Lock()
 	known := b.retired.get(key)
@@ -274,7 +276,7 @@
 		return
 	}
 	known, present := b.nodes.content.Lookup(name)
-	// A restored store has the entry of an earlier process until the present one registers.
+	// A restored store has the entry of an earlier process until the present process registers.
 	if _, lapsed := b.lapse(); lapsed && known.Process > node.Process {
 		b.logger.Info("entry of an earlier process ignored", zap.String("node", name), zap.Int64("revision", item.Revision))
 		return
@@ -297,11 +299,11 @@
 	}
 }
 
-// publish makes the next view current. The caller holds the mutex.
+// publish builds the next view and makes it current. The caller holds the mutex.
 func (b *Builder) publish() *View {
-	for _, id := range b.servers.forget(time.Now().Add(-goneMemory)) {
-		if instance := id.Instance(); b.lives[instance] == id {
-			delete(b.lives, instance)
+	for _, id := range b.servers.removeGoneBefore(time.Now().Add(-goneRetention)) {
+		if instance := id.Instance(); b.incarnations[instance] == id {
+			delete(b.incarnations, instance)
 		}
 	}
 	before := b.current.Load()
--- a/internal/view/entries.go
+++ b/internal/view/entries.go
@@ -9,15 +9,15 @@
 	"github.com/micahaven/micahaven/internal/topo"
 )
 
-// maxRefusedEntries bounds the entries of which it is remembered that they were logged as
-// refused; a writer that goes wrong may leave any number.
+// maxRefusedEntries limits for how many instances it is recorded that their refused entry has been
+// logged, because a faulty writer may create any number of them.
 const maxRefusedEntries = 256
 
-// refusedEntries are the instances whose entry cannot be used, so that each is logged once.
+// refusedEntries is the set of instances whose entry is invalid, so that each is logged once.
 type refusedEntries map[string]bool
 
-// note reports whether a refusal is new and to be logged.
-func (r refusedEntries) note(instance string) bool {
+// recordRefusal adds an instance and reports whether its refusal has to be logged.
+func (r refusedEntries) recordRefusal(instance string) bool {
 	if r[instance] || len(r) >= maxRefusedEntries {
 		return false
 	}
@@ -25,27 +25,27 @@
 	return true
 }
 
-// putServer takes a server's entry in. One that cannot be read names no server to use.
+// putServer applies a server's entry. An entry that cannot be decoded counts as missing.
 func (b *Builder) putServer(instance string, item topo.Item) {
 	entry, err := b.documents.Server(instance, item.Value)
 	if err != nil {
-		if b.refusals.note(instance) {
+		if b.refusals.recordRefusal(instance) {
 			b.logger.Error("server entry refused", zap.String("server", instance), zap.Int64("revision", item.Revision), zap.Error(err))
 		}
 		b.markGone(instance)
 		return
 	}
 	delete(b.refusals, instance)
-	if !b.isNewestLife(instance, entry, item.Revision) {
+	if !b.isNewestIncarnation(instance, entry, item.Revision) {
 		return
 	}
 	now := time.Now()
-	// The entry was written earlier, so that the server is warm by then at the latest. A
-	// server may turn cold again, so each entry counts anew.
+	// The entry was written earlier, so the server is warm by this time at the latest. A server may
+	// turn cold again, so each entry restarts the warm-up.
 	server := &Server{Server: entry, Revision: item.Revision, WarmAt: now.Add(entry.WarmUp)}
-	before := b.servers.get(entry.ID)
-	if before != nil {
-		server.DrainingSince = before.DrainingSince
+	previous := b.servers.get(entry.ID)
+	if previous != nil {
+		server.DrainingSince = previous.DrainingSince
 	}
 	if server.DrainingSince.IsZero() {
 		server.DrainingSince = b.leaving[entry.ID]
@@ -54,54 +54,54 @@
 		server.DrainingSince = now
 		b.logger.Info("server draining", zap.String("server", string(entry.ID)), zap.Int64("revision", item.Revision))
 	}
-	b.logEntry(server, before)
+	b.logEntry(server, previous)
 	b.servers.put(server)
 }
 
-// isNewestLife reports whether an entry is that of the newest life of its instance. The
-// life that it replaces has ended, and holds and knows nothing any more.
-func (b *Builder) isNewestLife(instance string, entry discovery.Server, revision int64) bool {
-	known, present := b.lives[instance]
+// isNewestIncarnation reports whether an entry belongs to the newest incarnation of its instance.
+// An earlier incarnation that it replaces has ended; it owns nothing and has lost its state.
+func (b *Builder) isNewestIncarnation(instance string, entry discovery.Server, revision int64) bool {
+	known, present := b.incarnations[instance]
 	if !present || known == entry.ID {
-		b.lives[instance] = entry.ID
+		b.incarnations[instance] = entry.ID
 		return true
 	}
-	before := b.servers.get(known)
-	if entry.StartedAt < before.StartedAt {
+	previous := b.servers.get(known)
+	if entry.StartedAt < previous.StartedAt {
 		b.logger.Info("entry of an earlier life passed over", zap.String("server", string(entry.ID)),
 			zap.String("newest", string(known)), zap.Int64("revision", revision))
 		return false
 	}
-	ended := *before
+	ended := *previous
 	ended.Ended, ended.LapsedUntil = true, time.Time{}
 	if ended.GoneSince.IsZero() {
 		ended.GoneSince = time.Now()
 	}
 	b.servers.put(&ended)
-	b.lives[instance] = entry.ID
+	b.incarnations[instance] = entry.ID
 	b.logger.Info("server started again", zap.String("server", string(entry.ID)), zap.String("before", string(known)),
 		zap.Int64("revision", revision))
 	return true
 }
 
-// logEntry logs what a server's entry changes; before is nil if the server was not known.
-func (b *Builder) logEntry(server, before *Server) {
-	if !b.started {
+// logEntry logs the changes of a server's entry; previous is nil if the server was not known.
+func (b *Builder) logEntry(server, previous *Server) {
+	if !b.loaded {
 		return
 	}
-	if before == nil || !before.GoneSince.IsZero() {
+	if previous == nil || !previous.GoneSince.IsZero() {
 		b.logger.Info("server registered", zap.String("server", string(server.ID)), zap.String("service", server.Service),
 			zap.String("address", server.Address), zap.Duration("warm_up", server.WarmUp), zap.Int64("revision", server.Revision))
 	}
-	if before != nil && before.WarmUp == 0 && server.WarmUp > 0 {
+	if previous != nil && previous.WarmUp == 0 && server.WarmUp > 0 {
 		b.logger.Info("server turned cold", zap.String("server", string(server.ID)), zap.Duration("warm_up", server.WarmUp),
 			zap.Int64("revision", server.Revision))
 	}
 }
 
-// markGone notes that the entry of an instance is missing.
+// markGone records that the entry of an instance is missing.
 func (b *Builder) markGone(instance string) {
-	known := b.servers.get(b.lives[instance])
+	known := b.servers.get(b.incarnations[instance])
 	if known == nil || !known.GoneSince.IsZero() {
 		return
 	}
@@ -115,16 +115,16 @@
 		zap.Bool("may_return", !gone.LapsedUntil.IsZero()))
 }
 
-// leavingMemory is for how long it is remembered that a server whose entry is missing said
-// that it leaves: its entry may come back with a store that was away, and not tell it.
-const leavingMemory = 10 * time.Minute
+// leavingRetention is how long the announcement of a server that it is leaving is kept while its
+// entry is missing: after an outage of the store, the entry may return without the draining state.
+const leavingRetention = 10 * time.Minute
 
-// TakeLeaving takes in that a server said in an answer that it leaves, and reports whether
-// that is new. The store may tell it much later, or never if it is away: the server counts as
-// draining from now on, whatever its entry says.
+// TakeLeaving records that a server announced in an answer that it is leaving, and reports whether
+// that is new for a known server. The store may report it much later, or never if it is
+// unavailable, so the server counts as draining from now on, whatever its entry says.
 func (b *Builder) TakeLeaving(id discovery.ServerID) bool {
 	b.mutex.Lock()
-	if _, told := b.leaving[id]; told {
+	if _, announced := b.leaving[id]; announced {
 		b.mutex.Unlock()
 		return false
 	}
@@ -146,11 +146,11 @@
 	return true
 }
 
-// forgetLeaving drops what was told long ago of servers that are gone. The caller holds the
-// mutex.
+// forgetLeaving drops the announcements of removed servers after leavingRetention. The caller holds
+// the mutex.
 func (b *Builder) forgetLeaving(now time.Time) {
-	for id, told := range b.leaving {
-		if b.servers.get(id) == nil && now.Sub(told) > leavingMemory {
+	for id, announcedAt := range b.leaving {
+		if b.servers.get(id) == nil && now.Sub(announcedAt) > leavingRetention {
 			delete(b.leaving, id)
 		}
 	}
--- a/internal/view/entries_test.go
+++ b/internal/view/entries_test.go
@@ -15,21 +15,21 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// bornDocuments reads the moment of a server's start from its entry.
-type bornDocuments struct{}
+// incarnationDocuments decodes server entries that consist of the server's start time.
+type incarnationDocuments struct{}
 
-func (bornDocuments) Table([]byte) (routing.Spec, error) { return routing.Spec{}, nil }
+func (incarnationDocuments) Table([]byte) (routing.Spec, error) { return routing.Spec{}, nil }
 
-func (bornDocuments) Server(instance string, text []byte) (discovery.Server, error) {
-	born, err := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64)
+func (incarnationDocuments) Server(instance string, text []byte) (discovery.Server, error) {
+	startedAt, err := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64)
 	if err != nil {
 		return discovery.Server{}, errors.Wrap(err, "born")
 	}
-	return discovery.Server{ID: discovery.NewServerID(instance, born), StartedAt: born, Service: "formulas"}, nil
+	return discovery.Server{ID: discovery.NewServerID(instance, startedAt), StartedAt: startedAt, Service: "formulas"}, nil
 }
 
-func bornBuilder(text string) *view.Builder {
-	builder := view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, bornDocuments{}, zap.NewNop())
+func builderWithIncarnation(text string) *view.Builder {
+	builder := view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, incarnationDocuments{}, zap.NewNop())
 	builder.Replace([]topo.Item{{Key: serverKey, Value: []byte(text), Revision: 1}}, 1)
 	return builder
 }
@@ -39,45 +39,45 @@
 }
 
 func TestServerThatStartsAgainUnderItsInstanceIsAnotherLife(t *testing.T) {
-	builder := bornBuilder("1000")
+	builder := builderWithIncarnation("1000")
 	put(builder, "2000", 2)
 	current := builder.Current()
 	before, after := current.Servers.Get(discovery.NewServerID("one", 1000)), current.Servers.Get(discovery.NewServerID("one", 2000))
 	if before == nil || !before.Ended || !before.Gone(time.Now(), time.Hour) {
-		t.Errorf("the life before is %+v, want one that has ended", before)
+		t.Errorf("the earlier incarnation is %+v, want it ended", before)
 	}
 	if after == nil || !after.Serving(time.Now()) {
-		t.Errorf("the later life is %+v, want one that serves", after)
+		t.Errorf("the later incarnation is %+v, want it serving", after)
 	}
 }
 
 func TestEntryOfAnEarlierLifeChangesNothing(t *testing.T) {
-	builder := bornBuilder("2000")
+	builder := builderWithIncarnation("2000")
 	put(builder, "1000", 2)
 	current := builder.Current()
 	if current.Servers.Len() != 1 || !current.Servers.Get(discovery.NewServerID("one", 2000)).Serving(time.Now()) {
-		t.Errorf("servers %v, want the later life alone", current.Servers)
+		t.Errorf("servers %v, want only the later incarnation", current.Servers)
 	}
 }
 
-// The entry of the later life is removed under the same key.
+// The entry of the later incarnation is removed under the same key.
 func TestRemovedEntryIsThatOfTheNewestLife(t *testing.T) {
-	builder := bornBuilder("1000")
+	builder := builderWithIncarnation("1000")
 	put(builder, "2000", 2)
 	builder.Apply([]topo.Event{{Item: topo.Item{Key: serverKey, Revision: 3}, Deleted: true}}, 3)
 	if server := builder.Current().Servers.Get(discovery.NewServerID("one", 2000)); server.GoneSince.IsZero() {
-		t.Error("the newest life counts as there")
+		t.Error("the newest incarnation counts as registered")
 	}
 }
 
 func TestEntryThatCannotBeReadNamesNoServer(t *testing.T) {
-	builder := bornBuilder("1000")
+	builder := builderWithIncarnation("1000")
 	put(builder, "scribble", 2)
 	if server := builder.Current().Servers.Get(discovery.NewServerID("one", 1000)); server.GoneSince.IsZero() {
 		t.Error("the server still counts as registered")
 	}
 	put(builder, "1000", 3)
 	if server := builder.Current().Servers.Get(discovery.NewServerID("one", 1000)); !server.Serving(time.Now()) {
-		t.Error("the server does not serve though its entry is there again")
+		t.Error("the server does not serve although its entry is valid again")
 	}
 }
--- a/internal/view/index.go
+++ b/internal/view/index.go
@@ -6,8 +6,8 @@
 	"maps"
 )
 
-// indexParts is in how many parts an index is kept. A change copies one of them: with ten
-// thousand entries that is some eighty.
+// indexParts is the number of parts of an index. A change copies one of them: with ten thousand
+// entries, about eighty entries.
 const indexParts = 128
 
 var indexSeed = maphash.MakeSeed()
@@ -16,20 +16,20 @@
 	return int(maphash.Comparable(indexSeed, key) % indexParts)
 }
 
-// Index is an immutable map that shares with others what they have in common. The zero
-// value is empty.
+// Index is an immutable map that shares unchanged parts with other versions of it. The zero value
+// is empty.
 type Index[K comparable, V any] struct {
 	parts *[indexParts]map[K]V
 	size  int
 }
 
-// Get returns the value of a key, or the zero value.
+// Get returns the value of a key, or the zero value if there is none.
 func (x Index[K, V]) Get(key K) V {
 	value, _ := x.Lookup(key)
 	return value
 }
 
-// Lookup returns the value of a key, and whether there is one.
+// Lookup returns the value of a key and whether there is one.
 func (x Index[K, V]) Lookup(key K) (V, bool) {
 	if x.parts == nil {
 		var none V
@@ -39,10 +39,10 @@
 	return value, present
 }
 
-// Len returns how many entries there are.
+// Len returns the number of entries.
 func (x Index[K, V]) Len() int { return x.size }
 
-// All returns the entries in no order.
+// All returns an iterator over the entries in no particular order.
 func (x Index[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		if x.parts == nil {
@@ -58,40 +58,39 @@
 	}
 }
 
-// sharedIndex builds indexes one after the other. What was published is never changed: the
-// first change of a part after a publication copies that part, so that a change of a large
-// deployment costs what it touches.
-type sharedIndex[K comparable, V any] struct {
+// copyOnWriteIndex builds successive versions of an index. Published versions never change: the
+// first change of a part after a publication copies that part, so that the cost of a change does
+// not depend on the size of the deployment.
+type copyOnWriteIndex[K comparable, V any] struct {
 	content Index[K, V]
-	// published is true if a view holds the content, and owned names the parts that no view
-	// holds.
+	// published is true if a view holds content, and owned marks the parts that no view holds.
 	published bool
 	owned     [indexParts]bool
 }
 
-func newSharedIndex[K comparable, V any]() *sharedIndex[K, V] {
-	return &sharedIndex[K, V]{content: Index[K, V]{parts: new([indexParts]map[K]V)}}
+func newCopyOnWriteIndex[K comparable, V any]() *copyOnWriteIndex[K, V] {
+	return &copyOnWriteIndex[K, V]{content: Index[K, V]{parts: new([indexParts]map[K]V)}}
 }
 
-func (x *sharedIndex[K, V]) get(key K) V { return x.content.Get(key) }
+func (x *copyOnWriteIndex[K, V]) get(key K) V { return x.content.Get(key) }
 
-func (x *sharedIndex[K, V]) put(key K, value V) {
-	part := x.own(key)
+func (x *copyOnWriteIndex[K, V]) put(key K, value V) {
+	part := x.ownedPart(key)
 	before := len(part)
 	part[key] = value
 	x.content.size += len(part) - before
 }
 
-func (x *sharedIndex[K, V]) remove(key K) {
+func (x *copyOnWriteIndex[K, V]) remove(key K) {
 	if _, present := x.content.Lookup(key); !present {
 		return
 	}
-	delete(x.own(key), key)
+	delete(x.ownedPart(key), key)
 	x.content.size--
 }
 
-// own returns the part of a key, which no view holds.
-func (x *sharedIndex[K, V]) own(key K) map[K]V {
+// ownedPart returns the part of a key for modification, copied first if a view holds it.
+func (x *copyOnWriteIndex[K, V]) ownedPart(key K) map[K]V {
 	if x.published {
 		parts := *x.content.parts
 		x.content.parts = &parts
@@ -108,8 +107,8 @@
 	return x.content.parts[at]
 }
 
-// publish returns the content, and whether it is that of the last publication.
-func (x *sharedIndex[K, V]) publish() (Index[K, V], bool) {
+// publish returns the content and whether it is the same as at the last publication.
+func (x *copyOnWriteIndex[K, V]) publish() (Index[K, V], bool) {
 	same := x.published
 	x.published = true
 	if !same {
--- a/internal/view/restored_test.go
+++ b/internal/view/restored_test.go
@@ -31,7 +31,7 @@
 	wants := func(epoch, sequence uint64) {
 		t.Helper()
 		if known := builder.Current().Owners["s"]; known.Epoch != epoch || known.Sequence != sequence {
-			t.Fatalf("map %d of epoch %d, want map %d of epoch %d", known.Sequence, known.Epoch, sequence, epoch)
+			t.Fatalf("map with sequence %d of epoch %d, want sequence %d of epoch %d", known.Sequence, known.Epoch, sequence, epoch)
 		}
 	}
 	put(view.OwnersKey("s", 0), 2, 7, 10)
@@ -50,7 +50,7 @@
 	for _, service := range []string{"s", "s/t", "s/era/x"} {
 		for _, era := range []int64{0, 1, 12} {
 			if named, written, found := view.OwnersOf(view.OwnersKey(service, era)); !found || named != service || written != era {
-				t.Errorf("service %q, era %d: read %q, %d, %v", service, era, named, written, found)
+				t.Errorf("key of service %q, era %d: parsed as %q, %d, %v", service, era, named, written, found)
 			}
 		}
 	}
@@ -76,7 +76,7 @@
 	}
 	builder.Apply([]topo.Event{{Item: nodeItem(t, "03", restored+1)}}, restored+1)
 	if node := builder.Current().Nodes.Get("n"); node.Process != "03" {
-		t.Fatalf("process %s, want 03, which registered last", node.Process)
+		t.Fatalf("process %s, want 03, the last one registered", node.Process)
 	}
 }
 
@@ -85,9 +85,9 @@
 	builder.Apply([]topo.Event{{Item: nodeItem(t, "01", 10)}}, 10)
 	current := builder.Current()
 	if !current.SendsOrders("s", "n", "02", 1) {
-		t.Error("a process counts as over although only an earlier one is registered")
+		t.Error("a process counts as ended although only an earlier one is registered")
 	}
 	if current.SendsOrders("s", "n", "00", 1) {
-		t.Error("a process counts as present although a later one is registered")
+		t.Error("a process counts as running although a later one is registered")
 	}
 }
--- a/internal/view/servers.go
+++ b/internal/view/servers.go
@@ -6,26 +6,26 @@
 	"github.com/micahaven/micahaven/internal/discovery"
 )
 
-// ServerIndex holds servers by id.
+// ServerIndex is an index of servers by id.
 type ServerIndex = Index[discovery.ServerID, *Server]
 
-// serverIndex holds servers by id and by service, and which of them have changed.
+// serverIndex holds servers by id and by service, and records which of them have changed.
 type serverIndex struct {
-	byID      *sharedIndex[discovery.ServerID, *Server]
-	byService map[string]*sharedIndex[discovery.ServerID, *Server]
-	services  *sharedMap[string, ServerIndex]
-	// touched are the services with a change since the last publication.
+	byID      *copyOnWriteIndex[discovery.ServerID, *Server]
+	byService map[string]*copyOnWriteIndex[discovery.ServerID, *Server]
+	services  *copyOnWriteMap[string, ServerIndex]
+	// touched are the services with a change since the last publication, and changed the servers.
 	touched map[string]bool
 	changed map[discovery.ServerID]bool
-	// gone are the servers whose entry is missing.
+	// gone are the servers whose entries are missing.
 	gone map[discovery.ServerID]bool
 }
 
 func newServerIndex() *serverIndex {
 	return &serverIndex{
-		byID:      newSharedIndex[discovery.ServerID, *Server](),
-		byService: make(map[string]*sharedIndex[discovery.ServerID, *Server]),
-		services:  newSharedMap[string, ServerIndex](),
+		byID:      newCopyOnWriteIndex[discovery.ServerID, *Server](),
+		byService: make(map[string]*copyOnWriteIndex[discovery.ServerID, *Server]),
+		services:  newCopyOnWriteMap[string, ServerIndex](),
 		touched:   make(map[string]bool),
 		changed:   make(map[discovery.ServerID]bool),
 		gone:      make(map[discovery.ServerID]bool),
@@ -34,14 +34,14 @@
 
 func (x *serverIndex) get(id discovery.ServerID) *Server { return x.byID.get(id) }
 
-// put adds a server or replaces what was known of it.
+// put adds or replaces a server.
 func (x *serverIndex) put(server *Server) {
 	if before := x.byID.get(server.ID); before != nil && before.Service != server.Service {
 		x.removeFrom(before.Service, server.ID)
 	}
 	x.byID.put(server.ID, server)
 	x.changed[server.ID] = true
-	x.touch(server.Service).put(server.ID, server)
+	x.touchService(server.Service).put(server.ID, server)
 	if server.GoneSince.IsZero() {
 		delete(x.gone, server.ID)
 		return
@@ -49,20 +49,20 @@
 	x.gone[server.ID] = true
 }
 
-// touch returns the servers of a service, which change.
-func (x *serverIndex) touch(service string) *sharedIndex[discovery.ServerID, *Server] {
+// touchService marks a service as changed and returns its servers.
+func (x *serverIndex) touchService(service string) *copyOnWriteIndex[discovery.ServerID, *Server] {
 	x.touched[service] = true
 	servers := x.byService[service]
 	if servers == nil {
-		servers = newSharedIndex[discovery.ServerID, *Server]()
+		servers = newCopyOnWriteIndex[discovery.ServerID, *Server]()
 		x.byService[service] = servers
 	}
 	return servers
 }
 
-// forget removes and returns the servers whose entries have been missing since before a
-// moment.
-func (x *serverIndex) forget(before time.Time) (forgotten []discovery.ServerID) {
+// removeGoneBefore removes the servers whose entries have been missing since before the given time,
+// and returns their ids.
+func (x *serverIndex) removeGoneBefore(before time.Time) (removed []discovery.ServerID) {
 	for id := range x.gone {
 		server := x.byID.get(id)
 		if server.GoneSince.Before(before) {
@@ -70,16 +70,18 @@
 			x.changed[id] = true
 			x.removeFrom(server.Service, id)
 			delete(x.gone, id)
-			forgotten = append(forgotten, id)
+			removed = append(removed, id)
 		}
 	}
-	return forgotten
+	return removed
 }
 
-func (x *serverIndex) removeFrom(service string, id discovery.ServerID) { x.touch(service).remove(id) }
+func (x *serverIndex) removeFrom(service string, id discovery.ServerID) {
+	x.touchService(service).remove(id)
+}
 
-// publish puts the servers into a view.
-func (x *serverIndex) publish(into *View) {
+// publish sets the servers of the next view.
+func (x *serverIndex) publish(next *View) {
 	for service := range x.touched {
 		servers, _ := x.byService[service].publish()
 		if servers.Len() == 0 {
@@ -90,10 +92,11 @@
 		x.services.put(service, servers)
 	}
 	for id := range x.changed {
-		into.Changed = append(into.Changed, id)
+		next.Changed = append(next.Changed, id)
 	}
-	// Maps that were large once, with the first copy, stay slow to walk.
+	// Allocate new maps: iterating over a map that was once large, as with the first copy, stays
+	// slow.
 	x.touched, x.changed = make(map[string]bool), make(map[discovery.ServerID]bool)
-	into.Servers, into.Same.Servers = x.byID.publish()
-	into.Services, _ = x.services.publish()
+	next.Servers, next.Same.Servers = x.byID.publish()
+	next.Services, _ = x.services.publish()
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,5 +1,5 @@
-// Package view turns the store's keys into what the router believes: the routing
-// table, the servers, the owner maps and the other nodes.
+// Package view builds the router's state from the store's keys: the routing table, the servers, the
+// owner maps and the other nodes.
 package view
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/micahaven/micahaven/internal/shards"
 )
 
-// Keys of the store that the router writes.
+// Prefixes of the keys that the router writes to the store.
 const (
 	nodePrefix    = "micahaven/nodes/"
 	managerPrefix = "micahaven/managers/"
@@ -20,21 +20,23 @@
 	retiredPrefix = "micahaven/retired/"
 )
 
-// HeadsKey holds the addresses of the nodes that pass changes on to their zones, for
-// nodes that start.
+// HeadsKey holds the addresses of the nodes that send changes to the nodes of their zones. Nodes
+// that start read it.
 const HeadsKey = "micahaven/heads"
 
-// NodeKey is the key under which a node registers.
+// NodeKey returns the key under which a node registers.
 func NodeKey(node string) string { return nodePrefix + node }
 
-// ManagerKey is the lock of a service's manager.
+// ManagerKey returns the key of the lock of a service's manager.
 func ManagerKey(service string) string { return managerPrefix + service }
 
-// eraSuffix and the era's number end the key of an owner map that was written in an era.
+// eraSuffix, followed by the number of the era, ends the key of an owner map that was written in an
+// era above 0.
 const eraSuffix = "/era/"
 
-// OwnersKey holds the owner map of a service that was written in an era of the store. Maps of
-// different eras have different keys, because their revisions may have the same numbers.
+// OwnersKey returns the key of a service's owner map that was written in the given era of the
+// store. Maps of different eras have different keys, because their revisions may have the same
+// numbers.
 func OwnersKey(service string, era int64) string {
 	if era == 0 {
 		return ownersPrefix + service
@@ -42,7 +44,7 @@
 	return ownersPrefix + service + eraSuffix + strconv.FormatInt(era, 10)
 }
 
-// OwnersOf returns the service and the era of an owner map's key; false for another key.
+// OwnersOf returns the service and the era of an owner map's key, and false for any other key.
 func OwnersOf(key string) (service string, era int64, found bool) {
 	name, found := strings.CutPrefix(key, ownersPrefix)
 	if !found {
@@ -56,65 +58,64 @@
 	return name, 0, true
 }
 
-// RetiredKey holds the last term of a node as the manager of a service that ended
-// with the loss of the lock.
+// RetiredKey returns the key of the retirement of a node from its last term as the manager of a
+// service, if that term ended with the loss of the lock.
 func RetiredKey(service, node string) string { return retiredPrefix + service + "/" + node }
 
-// Retirement says that a node sends no orders of a term or of those before it any
-// more.
+// Retirement states that a node sends no more orders of a term or of earlier terms.
 type Retirement struct {
 	Process string `json:"process"`
-	// Epoch is the epoch of the term that is over.
+	// Epoch is the epoch of the term that has ended.
 	Epoch int64 `json:"epoch"`
 }
 
-// Documents reads what the platform keeps in the store.
+// Documents decodes the documents that the platform keeps in the store.
 type Documents interface {
 	Table(text []byte) (routing.Spec, error)
 	Server(id string, text []byte) (discovery.Server, error)
 }
 
-// Layout says where the platform keeps its documents.
+// Layout holds the keys under which the platform keeps its documents.
 type Layout struct {
 	TableKey     string
 	ServerPrefix string
-	// EvacuationPrefix begins the keys that name evacuated zones.
+	// EvacuationPrefix is the prefix of the keys that name evacuated zones; empty if there are
+	// none.
 	EvacuationPrefix string
 }
 
-// Node is another node of the router, as it registered.
+// Node is the registration of a router node.
 type Node struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
-	// Process differs between two lives of a node. That of the later one is greater.
+	// Process identifies one run of the node. Later runs have greater values.
 	Process string `json:"process"`
-	// Share is the part of a processor that the node has.
+	// Share is the node's share of a processor.
 	Share float64 `json:"share"`
 }
 
-// Server is a server and what the view knows of its end.
+// Server is a server's entry and what the view knows of its warm-up, draining and removal.
 type Server struct {
 	discovery.Server
-	// Revision is the store's at the last change of its entry.
+	// Revision is the store's revision at the last change of the server's entry.
 	Revision int64
-	// WarmAt is when the server stops being slow.
+	// WarmAt is when the server's warm-up ends.
 	WarmAt time.Time
-	// DrainingSince is when it was first seen draining; zero if it is not.
+	// DrainingSince is when the server was first seen draining; zero if it is not draining.
 	DrainingSince time.Time
-	// GoneSince is when its entry was first seen missing; zero if it is there.
+	// GoneSince is when the entry was first seen missing; zero if it is present.
 	GoneSince time.Time
-	// Ended is true if a later life of it has registered under its instance id, so that
-	// it is not coming back and holds nothing.
+	// Ended is true if a later incarnation has registered under the same instance id. This one does
+	// not return and owns nothing.
 	Ended bool
-	// LapsedUntil is set if the entry may be missing only because the store was
-	// away: until then it may still come back.
+	// LapsedUntil is set if the entry may be missing only because its lease expired while the store
+	// was unavailable: until then it may be written again.
 	LapsedUntil time.Time
 }
 
-// Gone reports whether the server counts as gone, if a missing entry is borne with
-// for some time. Entries that lapsed while the store was away have until a moment
-// of their own.
+// Gone reports whether the server counts as gone, given how long a missing entry is tolerated.
+// Entries that lapsed while the store was unavailable are tolerated until LapsedUntil instead.
 func (s *Server) Gone(now time.Time, grace time.Duration) bool {
 	switch {
 	case s.Ended:
@@ -131,70 +132,70 @@
 // Serving reports whether the server is neither draining nor gone.
 func (s *Server) Serving(now time.Time) bool { return s.DrainingSince.IsZero() && !s.Gone(now, 0) }
 
-// Owners is an owner map and the store's revision of it.
+// Owners is an owner map with its revision in the store.
 type Owners struct {
 	*shards.Owners
 	Revision int64
-	// Era is the store's era in which the map was written.
+	// Era is the era of the store in which the map was written.
 	Era int64
-	// Encoded is the form in which the map is stored.
+	// Encoded is the stored form of the map.
 	Encoded []byte
 }
 
-// Manager is who holds a service's manager lock, or held it in an earlier era.
+// Manager is the node that holds a service's manager lock, or held it in an earlier era.
 type Manager struct {
 	Node
-	// Era is the store's era in which the lock was taken.
+	// Era is the era of the store in which the lock was taken.
 	Era int64 `json:"era,omitempty"`
-	// Revision is the one at which the lock was taken; 0 if there is no lock.
+	// Revision is the store's revision at which the lock was taken; 0 if there is no lock.
 	Revision int64 `json:"-"`
 }
 
-// View is what the router believes at one revision. It is immutable; parts that a
-// change did not touch are shared between views.
+// View is the router's state at one revision of the store. It is immutable; parts that a change did
+// not touch are shared between views.
 type View struct {
 	Revision int64
 	// Table is nil until a configuration is known.
 	Table   *routing.Table
 	Servers ServerIndex
-	// Services holds the servers of each service.
+	// Services holds the servers of each service by id.
 	Services map[string]ServerIndex
-	// Changed are the servers that changed or went since the view published before.
+	// Changed lists the servers that were added, changed or removed since the previous view.
 	Changed  []discovery.ServerID
 	Owners   map[string]Owners
 	Managers map[string]Manager
 	// Retired holds retirements by RetiredKey.
 	Retired map[string]Retirement
 	Nodes   Index[string, Node]
-	// Evacuations are those of zones that are or were evacuated.
+	// Evacuations holds, by zone, the evacuations in force and those that have ended.
 	Evacuations map[string]Evacuation
-	// Same names the parts that are those of the view published before.
-	Same Parts
+	// Same tells which parts are unchanged since the previous view.
+	Same UnchangedParts
 }
 
-// Parts are parts of a view.
-type Parts struct{ Table, Servers, Nodes, Evacuations bool }
+// UnchangedParts tells, for parts of a view, whether they are the same as in the previous view.
+type UnchangedParts struct{ Table, Servers, Nodes, Evacuations bool }
 
-// Evacuation is the operators' order that nothing is sent to the servers of a zone.
+// Evacuation is an operator's order to send no requests to the servers of a zone.
 type Evacuation struct {
-	// Since is when it was first seen; zero if the node found it in its first copy, so
-	// that it may have been there for long.
+	// Since is when the order was first seen; zero if it was in the node's first copy, so that it
+	// may have been in force for a long time.
 	Since time.Time
-	// EndedAt is when it was seen taken back; zero while it is in force.
+	// EndedAt is when the withdrawal of the order was seen; zero while the order is in force.
 	EndedAt time.Time
 }
 
-// InForce reports whether nothing is to be sent to the zone.
+// InForce reports whether the order still applies.
 func (e Evacuation) InForce() bool { return e.EndedAt.IsZero() }
 
-// Evacuated reports whether a zone is evacuated, and since when as far as is known.
+// Evacuated reports whether a zone is evacuated and, if known, since when.
 func (v *View) Evacuated(zone string) (since time.Time, evacuated bool) {
 	evacuation, known := v.Evacuations[zone]
 	return evacuation.Since, known && evacuation.InForce()
 }
 
-// WarmUntil returns until when a server warms up or may be warming up. Servers of a zone
-// that was evacuated turn cold without requests, and their entries may say so late.
+// WarmUntil returns until when a server is, or may be, warming up. Servers of a zone that was
+// evacuated turn cold without requests, and their entries may report it late.
 func (v *View) WarmUntil(s *Server) time.Time {
 	evacuation, known := v.Evacuations[s.Zone]
 	if !known || evacuation.InForce() || v.Table == nil {
@@ -207,11 +208,10 @@
 	return s.WarmAt
 }
 
-// SendsOrders reports whether a node may still send orders of its term as the
-// manager of a service: neither has a later process of it registered nor has it
-// retired from the term.
+// SendsOrders reports whether a node may still send orders of a term as the manager of a service:
+// no later process of the node has registered, and it has not retired from the term.
 func (v *View) SendsOrders(service, node, process string, epoch int64) bool {
-	// A restored store may name an earlier process than the one in question.
+	// In a restored store, an earlier process than the given one may be registered.
 	if registered, known := v.Nodes.Lookup(node); known && registered.Process > process {
 		return false
 	}
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -22,7 +22,8 @@
 
 const serverKey = "servers/one"
 
-// withServer returns a builder that knows one server, and what its lapse returns.
+// withServer returns a builder that knows one server, and the time that its lapse function returns
+// (no lapse if zero).
 func withServer() (*view.Builder, *time.Time) {
 	until := new(time.Time)
 	builder := view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, documents{}, zap.NewNop())
@@ -37,18 +38,18 @@
 	server := builder.Current().Servers.Get("one")
 	now := time.Now()
 	if !server.Gone(now.Add(time.Millisecond), 0) || server.Serving(now.Add(time.Millisecond)) {
-		t.Fatal("a server whose entry was removed serves")
+		t.Fatal("a server whose entry was removed still serves")
 	}
 	if server.Gone(now.Add(500*time.Millisecond), time.Second) {
-		t.Fatal("gone before the grace is over")
+		t.Fatal("gone before the end of the grace period")
 	}
 	if !server.Gone(now.Add(2*time.Second), time.Second) {
-		t.Fatal("not gone after the grace")
+		t.Fatal("not gone after the grace period")
 	}
 }
 
-// Entries lapse while the store is away; a live server writes its own again soon
-// after its return, and until then nothing has happened to it.
+// Entries expire while the store is unavailable. A live server writes its entry again soon after
+// the store's return and must stay in use until then.
 func TestServerWhoseEntryLapsedServesUntilItMustBeBack(t *testing.T) {
 	builder, until := withServer()
 	*until = time.Now().Add(2 * time.Second)
@@ -63,9 +64,9 @@
 	builder.Apply([]topo.Event{{Item: topo.Item{Key: serverKey, Revision: 6}}}, 6)
 	server = builder.Current().Servers.Get("one")
 	if server.Gone(until.Add(time.Hour), 0) {
-		t.Fatal("gone although it is back")
+		t.Fatal("gone although its entry is present again")
 	}
-	// A later end is an end.
+	// A removal without an outage counts at once.
 	*until = time.Time{}
 	builder.Apply([]topo.Event{{Item: topo.Item{Key: serverKey, Revision: 7}, Deleted: true}}, 7)
 	if server = builder.Current().Servers.Get("one"); !server.Gone(time.Now().Add(time.Millisecond), 0) {
@@ -73,8 +74,8 @@
 	}
 }
 
-// Views are read while the next ones are made, so that nothing in a published view
-// may change, and parts that a change does not touch are not copied.
+// Views are read while the next ones are built, so a published view must not change. Parts that a
+// change does not touch are not copied.
 func TestPublishedViewsStayAsTheyAre(t *testing.T) {
 	builder, _ := withServer()
 	first := builder.Current()
@@ -88,7 +89,7 @@
 		t.Error("the second view now has a server that is gone")
 	}
 	if third := builder.Current(); third.Servers.Get("one").GoneSince.IsZero() || third.Services["formulas"].Get("one").GoneSince.IsZero() {
-		t.Error("the third view does not know that the server is gone")
+		t.Error("the third view still has the server that is gone")
 	}
 }
 
@@ -109,34 +110,34 @@
 	}
 }
 
-// The store may be away when a server says that it leaves, and its entry says otherwise until
-// long after.
+// The store may be unavailable when a server announces that it is leaving, and its entry may stay
+// unchanged for a long time.
 func TestServerThatAnswersThatItLeavesIsDraining(t *testing.T) {
 	builder, _ := withServer()
 	published := 0
 	builder.Subscribe(func(*view.View) { published++ })
 	if !builder.TakeLeaving("one") || builder.TakeLeaving("one") {
-		t.Error("only the first word of a server is new")
+		t.Error("TakeLeaving must report only the first announcement as new")
 	}
 	if builder.Current().Servers.Get("one").DrainingSince.IsZero() || published != 1 {
-		t.Errorf("it isn't draining; %d views are published, want one", published)
+		t.Errorf("the server is not draining or %d views were published, want one", published)
 	}
 	builder.Apply([]topo.Event{{Item: topo.Item{Key: serverKey, Revision: 2}}}, 2)
 	if builder.Current().Servers.Get("one").DrainingSince.IsZero() {
-		t.Error("its entry of before undoes it")
+		t.Error("an earlier entry reverts the draining state")
 	}
 }
 
-// What is told of a server that isn't known holds once it registers; that is so when its entry
-// lapsed with a store that was away for long.
+// An announcement of an unknown server applies once the server registers, for example if its entry
+// expired during a long outage of the store.
 func TestLeavingServerThatRegistersAgainIsDraining(t *testing.T) {
 	builder, _ := withServer()
 	if builder.TakeLeaving("two") {
-		t.Error("news of a server that isn't known")
+		t.Error("TakeLeaving reports a change for an unknown server")
 	}
 	builder.Apply([]topo.Event{{Item: topo.Item{Key: "servers/two", Revision: 2}}}, 2)
 	if builder.Current().Servers.Get("two").DrainingSince.IsZero() {
-		t.Error("it isn't draining")
+		t.Error("the server is not draining")
 	}
 	if !builder.Current().Servers.Get("one").DrainingSince.IsZero() {
 		t.Error("another server is draining")
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -1,5 +1,4 @@
-// Package views turns gossip items into what a node works with: the table, and
-// who leads each group.
+// Package views derives a node's state from gossip items: the table, and the leader of each group.
 package views
 
 import (
@@ -16,41 +15,41 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// groupPrefix is the prefix of the items that name leaders.
+// groupPrefix is the key prefix of the items that hold group views.
 const groupPrefix = "view/"
 
-// Views follows the items. It is safe for concurrent use.
+// Views holds the current state derived from the items. It is safe for concurrent use.
 type Views struct {
 	items  *gossip.Items
 	logger *zap.Logger
 
-	// refresh is held from reading the items until the views are replaced, so
-	// that a slow reader cannot put an older view in place of a newer one. It is
-	// taken before mutex.
-	refresh sync.Mutex
+	// refreshMutex is held from reading the items until the state is replaced, so that a slow
+	// reader cannot replace newer state with older. It is locked before mutex.
+	refreshMutex sync.Mutex
 
 	mutex   sync.Mutex
 	leaders map[string]*wire.GroupView
 	current *table.Table
-	// changed is closed and replaced whenever a leader changes.
-	changed chan struct{}
+	// leadersChanged is closed and replaced whenever a group view changes.
+	leadersChanged chan struct{}
 }
 
-// New returns views of a set of items.
+// New returns views of a set of items. They are empty until the first call of Refresh.
 func New(items *gossip.Items, logger *zap.Logger) *Views {
 	return &Views{
-		items:   items,
-		logger:  logger,
-		leaders: make(map[string]*wire.GroupView),
-		current: &table.Table{},
-		changed: make(chan struct{}),
+		items:          items,
+		logger:         logger,
+		leaders:        make(map[string]*wire.GroupView),
+		current:        &table.Table{},
+		leadersChanged: make(chan struct{}),
 	}
 }
 
-// versionBits is the part of an item's minor version that counts memberships.
+// versionBits is the number of low bits of an item's minor version that hold the membership
+// version; the bits above hold the term.
 const versionBits = 20
 
-// ItemOf returns the item that spreads a group's view.
+// ItemOf returns the gossip item for a group's view.
 func ItemOf(view *wire.GroupView) (*wire.GossipItem, error) {
 	value, err := proto.Marshal(view)
 	if err != nil {
@@ -65,16 +64,16 @@
 	}, nil
 }
 
-// Leader returns the latest view of a group, or nil, and a channel that is
-// closed when any view changes.
+// Leader returns the latest view of a group, or nil, and a channel that is closed when any group
+// view changes.
 func (v *Views) Leader(group string) (*wire.GroupView, <-chan struct{}) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.leaders[group], v.changed
+	return v.leaders[group], v.leadersChanged
 }
 
-// Wait pauses, or less when a view changes, and reports whether there is time
-// left. The channel is the one that Leader returned.
+// Wait waits for the given duration or until changed, the channel returned by Leader, is closed. It
+// reports whether the context is still active.
 func Wait(ctx context.Context, pause time.Duration, changed <-chan struct{}) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -87,20 +86,20 @@
 	return ctx.Err() == nil
 }
 
-// Table returns the latest table. The caller must not change it.
+// Table returns the latest table. The caller must not modify it.
 func (v *Views) Table() *table.Table {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.current
 }
 
-// Refresh takes in news and reports whether the table changed.
-func (v *Views) Refresh(news []*wire.GossipItem) bool {
-	v.refresh.Lock()
-	defer v.refresh.Unlock()
+// Refresh processes updated items and reports whether the table changed.
+func (v *Views) Refresh(updates []*wire.GossipItem) bool {
+	v.refreshMutex.Lock()
+	defer v.refreshMutex.Unlock()
 	tableChanged := false
 	leaderChanged := false
-	for _, item := range news {
+	for _, item := range updates {
 		if len(item.GetKey()) > len(groupPrefix) && item.GetKey()[:len(groupPrefix)] == groupPrefix {
 			leaderChanged = true
 			continue
@@ -111,7 +110,7 @@
 		v.setTable(v.LatestTable())
 	}
 	if leaderChanged {
-		v.readLeaders()
+		v.refreshLeaders()
 	}
 	return tableChanged
 }
@@ -122,9 +121,9 @@
 	v.current = latest
 }
 
-// LatestTable builds the table from the stored entries. It may be newer than
-// Table, which changes when the views are told of the news. An entry that cannot
-// be read, which only a foreign writer can have caused, is left out and logged.
+// LatestTable builds the table from the stored entries. It may be newer than Table, which changes
+// only in Refresh. An entry that cannot be decoded, which only a foreign writer can have created,
+// is left out and logged.
 func (v *Views) LatestTable() *table.Table {
 	latest := &table.Table{}
 	for _, item := range v.items.WithPrefix(table.Prefix) {
@@ -146,7 +145,7 @@
 	return latest
 }
 
-func (v *Views) readLeaders() {
+func (v *Views) refreshLeaders() {
 	leaders := make(map[string]*wire.GroupView)
 	for _, item := range v.items.WithPrefix(groupPrefix) {
 		view := &wire.GroupView{}
@@ -159,6 +158,6 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.leaders = leaders
-	close(v.changed)
-	v.changed = make(chan struct{})
+	close(v.leadersChanged)
+	v.leadersChanged = make(chan struct{})
 }
--- a/internal/views/views_test.go
+++ b/internal/views/views_test.go
@@ -23,9 +23,9 @@
 	return &wire.GossipItem{Key: change.Key(), Major: 1, Value: value}
 }
 
-// TestNewsFromSeveralSidesIsNotLost lets the key-value service and other nodes
-// bring news at the same time: the table must end with all of it. Once a reader
-// that had read early wrote its older table over a newer one.
+// TestNewsFromSeveralSidesIsNotLost runs Refresh concurrently, as the key-value service and other
+// nodes do: the final table must contain all items. It guards against a reader that read the items
+// early and replaced a newer table with its older one.
 func TestNewsFromSeveralSidesIsNotLost(t *testing.T) {
 	const rounds, sources = 200, 8
 	for round := range rounds {
@@ -38,7 +38,7 @@
 		}
 		arriving.Wait()
 		if got := len(v.Table().Rows); got != sources {
-			t.Fatalf("round %d: the table has %d rows, %d arrived", round, got, sources)
+			t.Fatalf("round %d: the table has %d rows, want %d", round, got, sources)
 		}
 	}
 }
