--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -63,7 +63,7 @@
 		{"a connection ends", func(*httptest.Server, *view.Builder) {}, 0},
 		{"the process ends", closeAll, 1},
 		{"a leaving process ends", func(server *httptest.Server, builder *view.Builder) {
-			builder.TakeLeaving("s0")
+			builder.MarkLeaving("s0")
 			closeAll(server, builder)
 		}, 0},
 		{"a process ends whose entry is gone", func(server *httptest.Server, builder *view.Builder) {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -183,7 +183,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now, current := time.Now(), d.views.Current()
-	if !published.Same.Nodes {
+	if !published.Unchanged.Nodes {
 		d.nodes = max(1, current.Nodes.Len())
 		d.followZone(current)
 		for _, b := range d.budgets {
@@ -191,10 +191,10 @@
 		}
 		d.rights.SetNodes(now, registeredNodes(current))
 	}
-	if !published.Same.Nodes || !published.Same.Table {
+	if !published.Unchanged.Nodes || !published.Unchanged.Table {
 		d.followServices(now, current)
 	}
-	if !published.Same.Evacuations {
+	if !published.Unchanged.Evacuations {
 		d.followEvacuations(now, current)
 	}
 	d.updateServers(now, current, published.Changed)
--- a/internal/dispatch/signals.go
+++ b/internal/dispatch/signals.go
@@ -68,7 +68,7 @@
 	d.mutex.Unlock()
 	d.logSignals(s, before, signals)
 	d.observeLimit(s, signals)
-	if signals.Leaving && !before.Leaving && d.views.TakeLeaving(s.id) {
+	if signals.Leaving && !before.Leaving && d.views.MarkLeaving(s.id) {
 		d.signalled(s.id, Signal{Leaving: true})
 	}
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -201,8 +201,8 @@
 	f.selectUpstream(now)
 }
 
-// Given sets the node that supplies this one's first copy.
-func (f *Feed) Given(now time.Duration, bootstrapPeer Member) {
+// SetBootstrapPeer sets the node that supplies this one's first copy.
+func (f *Feed) SetBootstrapPeer(now time.Duration, bootstrapPeer Member) {
 	f.bootstrapPeer = &bootstrapPeer
 	if len(f.heads) == 0 {
 		f.SetMembers(now, nil)
@@ -233,7 +233,7 @@
 // ConfirmationDue reports whether this node has to read the store's revision now, to detect that
 // its watch has missed changes.
 func (f *Feed) ConfirmationDue(now time.Duration) bool {
-	if !f.Compares(now) {
+	if !f.ComparesRevision(now) {
 		return false
 	}
 	steps := 0
@@ -250,9 +250,9 @@
 	return f.confirm(at, revision, true)
 }
 
-// ConfirmTold records that another node read the store's revision and announced it. It reports
+// ConfirmFromPeer records that another node read the store's revision and announced it. It reports
 // whether this node's copy has reached that revision.
-func (f *Feed) ConfirmTold(at time.Duration, revision int64) bool {
+func (f *Feed) ConfirmFromPeer(at time.Duration, revision int64) bool {
 	return f.confirm(at, revision, false)
 }
 
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -145,7 +145,7 @@
 		if !informed {
 			continue
 		}
-		confirm := other.core.ConfirmTold
+		confirm := other.core.ConfirmFromPeer
 		if other == n {
 			confirm = other.core.Confirm
 		}
--- a/internal/feed/upstream.go
+++ b/internal/feed/upstream.go
@@ -81,9 +81,9 @@
 // Upstream returns the node that this one follows, or false if it follows none.
 func (f *Feed) Upstream() (Member, bool) { return f.upstream, f.following }
 
-// Compares reports whether this node compares its copy with the store's revision. The root does,
+// ComparesRevision reports whether this node compares its copy with the store's revision. The root does,
 // and so does a head that had to take its place.
-func (f *Feed) Compares(now time.Duration) bool { return f.root || f.head && f.Watching(now) }
+func (f *Feed) ComparesRevision(now time.Duration) bool { return f.root || f.head && f.Watching(now) }
 
 // Watching reports whether this node has to watch the store itself, because it is the root or
 // cannot rely on its upstream.
--- a/internal/handoff/sender.go
+++ b/internal/handoff/sender.go
@@ -39,7 +39,7 @@
 
 // Follow takes in the nodes of a new view.
 func (s *Sender) Follow(current *view.View) {
-	if current.Same.Nodes {
+	if current.Unchanged.Nodes {
 		return
 	}
 	nodes := make([]homes.Node, 0, current.Nodes.Len())
--- a/internal/mirror/freshness.go
+++ b/internal/mirror/freshness.go
@@ -70,7 +70,7 @@
 	if seen >= revision || ctx.Err() != nil {
 		return false
 	}
-	m.logger.Warn("watch is silent, listing again", zap.Int64("revision", seen), zap.Int64("store", revision))
+	m.logger.Warn("watch did not report a known revision, reloading copy", zap.Int64("revision", seen), zap.Int64("store", revision))
 	m.scheduleRelist(revision)
 	m.Resume()
 	return true
--- a/internal/mirror/list.go
+++ b/internal/mirror/list.go
@@ -39,10 +39,10 @@
 	if !found {
 		return m.listStore(ctx)
 	}
-	m.logger.Info("copy taken from another node", zap.Int64("revision", copied.Revision), zap.Int("items", len(copied.Items)),
+	m.logger.Info("copy loaded from another node", zap.Int64("revision", copied.Revision), zap.Int("items", len(copied.Items)),
 		zap.Duration("confirmed_ago", time.Since(copied.ConfirmedAt)))
-	m.Adopt(copied.Items, copied.Revision)
-	m.observer.Told(copied.ConfirmedAt, copied.Revision)
+	m.ReplaceCopy(copied.Items, copied.Revision)
+	m.observer.ConfirmedByPeer(copied.ConfirmedAt, copied.Revision)
 	return nil
 }
 
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	m.Adopt(items, at)
+	m.ReplaceCopy(items, at)
 	m.mutex.Lock()
 	m.relistRevision = 0
 	m.mutex.Unlock()
@@ -68,9 +68,9 @@
 	m.relistRevision = max(m.relistRevision, revision)
 }
 
-// Adopt replaces the copy with a complete one, from the store or from another node, unless the
+// ReplaceCopy replaces the copy with a complete one, from the store or from another node, unless the
 // present one is newer.
-func (m *Mirror) Adopt(items []topo.Item, revision int64) {
+func (m *Mirror) ReplaceCopy(items []topo.Item, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if revision < m.revision {
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -49,11 +49,11 @@
 	// copy, so keys may be missing for a short time.
 	Restored()
 	// Confirmed is called when the store reported to this node that it had a revision at the given
-	// time, Told when another node reported it.
+	// time, ConfirmedByPeer when another node reported it.
 	Confirmed(at time.Time, revision int64)
-	Told(at time.Time, revision int64)
+	ConfirmedByPeer(at time.Time, revision int64)
 	// Watching reports whether the mirror has to watch the store. Otherwise changes arrive through
-	// Take.
+	// ApplyBatch.
 	Watching() bool
 }
 
@@ -61,11 +61,11 @@
 // default source of copies, which supplies none.
 type standalone struct{}
 
-func (standalone) Changed(topo.Batch)         {}
-func (standalone) Restored()                  {}
-func (standalone) Confirmed(time.Time, int64) {}
-func (standalone) Told(time.Time, int64)      {}
-func (standalone) Watching() bool             { return true }
+func (standalone) Changed(topo.Batch)               {}
+func (standalone) Restored()                        {}
+func (standalone) Confirmed(time.Time, int64)       {}
+func (standalone) ConfirmedByPeer(time.Time, int64) {}
+func (standalone) Watching() bool                   { return true }
 
 func (standalone) Copy(context.Context, int64) (Copy, bool) { return Copy{}, false }
 
@@ -79,7 +79,7 @@
 
 	mutex sync.Mutex
 	// items are the keys as of revision, and pushed holds newer items that were received through
-	// Offer since. Changes are sent to followers as deltas of items, which are the same on all
+	// ApplyPushed since. Changes are sent to followers as deltas of items, which are the same on all
 	// nodes at a given revision, and not of pushed items, which only some nodes have.
 	items    map[string]topo.Item
 	pushed   map[string]topo.Item
@@ -106,11 +106,11 @@
 	return &Mirror{store: store, receiver: receiver, observer: standalone{}, copies: standalone{}, logger: logger, items: make(map[string]topo.Item), pushed: make(map[string]topo.Item)}
 }
 
-// Observe sets the observer. It must be called before Run.
-func (m *Mirror) Observe(observer Observer) { m.observer = observer }
+// SetObserver sets the observer. It must be called before Run.
+func (m *Mirror) SetObserver(observer Observer) { m.observer = observer }
 
-// TakeFrom sets the source of copies on other nodes. It must be called before Run.
-func (m *Mirror) TakeFrom(copies Copies) { m.copies = copies }
+// SetCopySource sets the source of copies on other nodes. It must be called before Run.
+func (m *Mirror) SetCopySource(copies Copies) { m.copies = copies }
 
 // Run keeps the copy up to date until the context ends.
 func (m *Mirror) Run(ctx context.Context) error {
@@ -127,22 +127,22 @@
 		switch {
 		case err == nil:
 			if m.unreachable.Swap(false) {
-				m.logger.Info("store regained", zap.Int64("revision", m.Revision()))
+				m.logger.Info("store reachable again", zap.Int64("revision", m.Revision()))
 			}
 			retry = minRetryDelay
 			continue
 		case errors.Is(err, topo.ErrCompacted):
-			m.logger.Info("history compacted, listing again", zap.Int64("revision", m.Revision()))
+			m.logger.Info("watch history compacted, reloading copy", zap.Int64("revision", m.Revision()))
 			m.scheduleRelist(m.Revision() + 1)
 			continue
 		case errors.Is(err, topo.ErrRestored):
-			m.logger.Warn("store restored from an older copy, listing again", zap.Int64("revision", m.Revision()), zap.Int64("era", m.store.Era()))
+			m.logger.Warn("store restored from an older copy, reloading copy", zap.Int64("revision", m.Revision()), zap.Int64("era", m.store.Era()))
 			m.scheduleRelist(topo.RevisionIn(m.store.Era(), 0))
 			continue
 		case errors.Is(err, context.Canceled):
 			continue
 		case !m.unreachable.Swap(true):
-			m.logger.Warn("store lost", zap.Int64("revision", m.Revision()), zap.Error(err))
+			m.logger.Warn("store unreachable", zap.Int64("revision", m.Revision()), zap.Error(err))
 		}
 		m.pauseWithinEra(ctx, retry)
 		retry = min(2*retry, maxRetryDelay)
@@ -168,11 +168,11 @@
 	era := m.store.Era()
 	if before := m.era.Swap(era); before != era {
 		eraGauge.Set(float64(era))
-		m.logger.Info("store era", zap.Int64("era", era), zap.Int64("before", before), zap.Int64("revision", m.Revision()))
+		m.logger.Info("store era changed", zap.Int64("era", era), zap.Int64("before", before), zap.Int64("revision", m.Revision()))
 	}
 }
 
-// fedByPeers reports whether changes arrive through Take instead of a watch.
+// fedByPeers reports whether changes arrive through ApplyBatch instead of a watch.
 func (m *Mirror) fedByPeers() bool {
 	return !m.needsList() && !m.needsWatch() && !m.observer.Watching()
 }
@@ -193,8 +193,8 @@
 	}
 }
 
-// Lost reports whether the store is not answering this node.
-func (m *Mirror) Lost() bool { return m.unreachable.Load() }
+// StoreUnreachable reports whether the store is not answering this node.
+func (m *Mirror) StoreUnreachable() bool { return m.unreachable.Load() }
 
 // Revision returns the revision of the store that the copy reflects.
 func (m *Mirror) Revision() int64 {
@@ -250,12 +250,12 @@
 		return err
 	}
 	if missing := countMissing(events, revision, at); missing > 0 {
-		m.logger.Warn("watch passed over changes, listing again",
+		m.logger.Warn("watch skipped revisions, reloading copy",
 			zap.Int64("after", revision), zap.Int64("revision", at), zap.Int64("missing", missing))
 		m.scheduleRelist(at)
 		return nil
 	}
-	m.Take(topo.Batch{After: revision, Revision: at, Events: events})
+	m.ApplyBatch(topo.Batch{After: revision, Revision: at, Events: events})
 	m.observer.Confirmed(time.Now(), at)
 	if len(events) > 0 {
 		periodic.Pause(ctx, batchDelay)
@@ -263,11 +263,11 @@
 	return nil
 }
 
-// Offer applies an item that a node has just written and that was sent here directly, before the
+// ApplyPushed applies an item that a node has just written and that was sent here directly, before the
 // watch reports it. The copy's revision does not change; the watch reports the same change later.
 // It returns the change with its value and, if it is small enough, its delta, and reports whether
 // the change was new.
-func (m *Mirror) Offer(event topo.Event) (topo.Event, bool) {
+func (m *Mirror) ApplyPushed(event topo.Event) (topo.Event, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	current, wasPushed := m.pushed[event.Key]
@@ -289,9 +289,9 @@
 	return resolved, true
 }
 
-// Take applies all changes between two revisions, from the store or from another node. It does
+// ApplyBatch applies all changes between two revisions, from the store or from another node. It does
 // nothing if the copy has not reached the first revision.
-func (m *Mirror) Take(batch topo.Batch) {
+func (m *Mirror) ApplyBatch(batch topo.Batch) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if !m.synced || batch.Revision < m.revision || batch.After > m.revision {
@@ -304,7 +304,7 @@
 	}
 	fresh, complete := m.resolve(batch.Events)
 	if !complete {
-		m.logger.Warn("change cannot be made from its delta, listing again", zap.Int64("revision", m.revision))
+		m.logger.Warn("cannot apply delta of a change, reloading copy", zap.Int64("revision", m.revision))
 		m.relistRevision = max(m.relistRevision, batch.Revision)
 		return
 	}
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -156,7 +156,7 @@
 	store.Write("config", []byte(large("1")))
 	first, sent := newRecorder(), make(chan topo.Batch, 16)
 	watcher := mirror.New(store, first, zap.NewNop())
-	watcher.Observe(observer{changed: sent, watching: true})
+	watcher.SetObserver(observer{changed: sent, watching: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = watcher.Run(ctx) }()
@@ -164,7 +164,7 @@
 
 	second := newRecorder()
 	follower := mirror.New(store, second, zap.NewNop())
-	follower.Observe(observer{changed: make(chan topo.Batch, 16)})
+	follower.SetObserver(observer{changed: make(chan topo.Batch, 16)})
 	go func() { _ = follower.Run(ctx) }()
 	second.waitFor(t, "config", large("1"))
 	<-sent
@@ -175,7 +175,7 @@
 		t.Fatalf("sent to followers: %d changes, delta of %d bytes", len(batch.Events), len(batch.Events[0].Delta))
 	}
 	batch.Events[0].Value = nil
-	follower.Take(batch)
+	follower.ApplyBatch(batch)
 	second.waitFor(t, "config", large("2"))
 
 	// A delta with another base makes the follower list the store again.
@@ -184,7 +184,7 @@
 	next.Events[0].Value = nil
 	next.Events[0].BaseRevision--
 	next.Events[0].Revision++
-	follower.Take(next)
+	follower.ApplyBatch(next)
 	second.waitFor(t, "config", large("3"))
 }
 
@@ -193,11 +193,11 @@
 	watching bool
 }
 
-func (o observer) Changed(batch topo.Batch)   { o.changed <- batch }
-func (o observer) Restored()                  {}
-func (o observer) Confirmed(time.Time, int64) {}
-func (o observer) Told(time.Time, int64)      {}
-func (o observer) Watching() bool             { return o.watching }
+func (o observer) Changed(batch topo.Batch)         { o.changed <- batch }
+func (o observer) Restored()                        {}
+func (o observer) Confirmed(time.Time, int64)       {}
+func (o observer) ConfirmedByPeer(time.Time, int64) {}
+func (o observer) Watching() bool                   { return o.watching }
 
 // In the sweep at 300 machines, sending owner maps whole to other zones cost a third of the worth
 // (score) of a day.
@@ -219,18 +219,18 @@
 	for range 2 {
 		receiver := newRecorder()
 		copied := mirror.New(store, receiver, zap.NewNop())
-		copied.Observe(observer{changed: sent})
+		copied.SetObserver(observer{changed: sent})
 		go func() { _ = copied.Run(ctx) }()
 		receiver.waitFor(t, "map", string(large("1")))
 		copies, receivers = append(copies, copied), append(receivers, receiver)
 	}
 	const revision = 9
-	event, isNew := copies[0].Offer(topo.Event{Item: topo.Item{Key: "map", Value: large("2"), Revision: revision}})
+	event, isNew := copies[0].ApplyPushed(topo.Event{Item: topo.Item{Key: "map", Value: large("2"), Revision: revision}})
 	if !isNew || len(event.Delta) == 0 || len(event.Delta) > 100 {
 		t.Fatalf("new %v, delta of %d bytes", isNew, len(event.Delta))
 	}
 	event.Value = nil
-	if _, isNew := copies[1].Offer(event); !isNew {
+	if _, isNew := copies[1].ApplyPushed(event); !isNew {
 		t.Fatal("the delta was not applied")
 	}
 	receivers[1].waitFor(t, "map", string(large("2")))
@@ -238,16 +238,16 @@
 	<-sent
 	<-sent
 	watched := topo.Event{Item: topo.Item{Key: "map", Value: large("2"), Revision: revision}}
-	copies[0].Take(topo.Batch{After: 1, Revision: revision, Events: []topo.Event{watched}})
+	copies[0].ApplyBatch(topo.Batch{After: 1, Revision: revision, Events: []topo.Event{watched}})
 	if batch := <-sent; len(batch.Events) != 1 || len(batch.Events[0].Delta) == 0 {
 		t.Fatalf("the watched change was sent on without its delta: %d changes", len(batch.Events))
 	}
 	// A delta with another base and an item that is already known are rejected.
-	if _, again := copies[1].Offer(event); again {
+	if _, again := copies[1].ApplyPushed(event); again {
 		t.Fatal("an item was applied twice")
 	}
 	event.Revision, event.BaseRevision = revision+2, revision+1
-	if _, unfit := copies[1].Offer(event); unfit {
+	if _, unfit := copies[1].ApplyPushed(event); unfit {
 		t.Fatal("a delta from another base was applied")
 	}
 }
@@ -259,7 +259,7 @@
 	store.Write("a", []byte("1"))
 	received := newRecorder()
 	m := mirror.New(store, received, zap.NewNop())
-	m.Observe(observer{changed: make(chan topo.Batch, 16)})
+	m.SetObserver(observer{changed: make(chan topo.Batch, 16)})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Go(func() { _ = m.Run(ctx) })
@@ -305,7 +305,7 @@
 	if calls := store.Calls("revision"); calls != 0 {
 		t.Errorf("the store's revision was read %d times before the first list", calls)
 	}
-	m.Adopt(nil, 1)
+	m.ReplaceCopy(nil, 1)
 	for range looks {
 		<-due
 	}
@@ -330,7 +330,7 @@
 			cancel()
 			return 0, false
 		}
-		m.Adopt(nil, 1)
+		m.ReplaceCopy(nil, 1)
 		return 0, true
 	}
 	if err := m.CheckFreshness(ctx, schedule, func(int64) {}); err != nil {
--- a/internal/mirror/pushed_test.go
+++ b/internal/mirror/pushed_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	received, sent := newRecorder(), make(chan topo.Batch, 16)
 	copied := mirror.New(store, received, zap.NewNop())
-	copied.Observe(observer{changed: sent})
+	copied.SetObserver(observer{changed: sent})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = copied.Run(ctx) }()
@@ -56,18 +56,18 @@
 			follower, received, _ := startCopy(t, store)
 			lists := store.Calls("list")
 			for revision := int64(2); revision <= 3; revision++ {
-				if _, isNew := upstream.Offer(mapEvent(revision)); !isNew {
+				if _, isNew := upstream.ApplyPushed(mapEvent(revision)); !isNew {
 					t.Fatal("the offer was not applied")
 				}
 			}
-			upstream.Take(topo.Batch{After: 1, Revision: 3, Events: watched})
+			upstream.ApplyBatch(topo.Batch{After: 1, Revision: 3, Events: watched})
 			batch := <-sent
 			for index := range batch.Events {
 				if batch.Events[index].Delta != nil {
 					batch.Events[index].Value = nil
 				}
 			}
-			follower.Take(batch)
+			follower.ApplyBatch(batch)
 			if got := received.value("map"); got != string(largeMap(3)) {
 				t.Errorf("the follower has version %.14q, want 3", got)
 			}
@@ -83,18 +83,18 @@
 	store := memory.New()
 	store.Write("map", largeMap(1))
 	copied, received, _ := startCopy(t, store)
-	if _, isNew := copied.Offer(mapEvent(4)); !isNew {
+	if _, isNew := copied.ApplyPushed(mapEvent(4)); !isNew {
 		t.Fatal("the offer was not applied")
 	}
-	copied.Take(topo.Batch{After: 1, Revision: 2, Events: []topo.Event{mapEvent(2)}})
+	copied.ApplyBatch(topo.Batch{After: 1, Revision: 2, Events: []topo.Event{mapEvent(2)}})
 	if got := received.value("map"); got != string(largeMap(4)) {
 		t.Errorf("a change reverted version 4 to %.14q", got)
 	}
-	copied.Adopt([]topo.Item{mapEvent(3).Item}, 3)
+	copied.ReplaceCopy([]topo.Item{mapEvent(3).Item}, 3)
 	if got := received.value("map"); got != string(largeMap(4)) {
 		t.Errorf("a copy reverted version 4 to %.14q", got)
 	}
-	copied.Take(topo.Batch{After: 3, Revision: 5, Events: []topo.Event{mapEvent(5)}})
+	copied.ApplyBatch(topo.Batch{After: 3, Revision: 5, Events: []topo.Event{mapEvent(5)}})
 	if got := received.value("map"); got != string(largeMap(5)) {
 		t.Errorf("version %.14q after a newer change, want 5", got)
 	}
@@ -105,7 +105,7 @@
 	store := memory.New()
 	store.Write("map", largeMap(1))
 	copied, _, _ := startCopy(t, store)
-	if _, isNew := copied.Offer(mapEvent(4)); !isNew {
+	if _, isNew := copied.ApplyPushed(mapEvent(4)); !isNew {
 		t.Fatal("the offer was not applied")
 	}
 	items, revision, _ := copied.Snapshot()
@@ -122,12 +122,12 @@
 	sender, _, _ := startCopy(t, store)
 	receiver, received, _ := startCopy(t, store)
 	for revision := int64(2); revision <= 3; revision++ {
-		event, isNew := sender.Offer(mapEvent(revision))
+		event, isNew := sender.ApplyPushed(mapEvent(revision))
 		if !isNew || len(event.Delta) == 0 {
 			t.Fatalf("new %v, delta of %d bytes", isNew, len(event.Delta))
 		}
 		event.Value = nil
-		if _, applied := receiver.Offer(event); !applied {
+		if _, applied := receiver.ApplyPushed(event); !applied {
 			t.Errorf("version %d was not applied", revision)
 		}
 	}
--- a/internal/mirror/restored_test.go
+++ b/internal/mirror/restored_test.go
@@ -63,7 +63,7 @@
 func adopted(items []topo.Item, revision int64) (*mirror.Mirror, *recorder) {
 	received := newRecorder()
 	m := mirror.New(memory.New(), received, zap.NewNop())
-	m.Adopt(items, revision)
+	m.ReplaceCopy(items, revision)
 	return m, received
 }
 
@@ -74,11 +74,11 @@
 func TestFollowerWithChangesThatWereLostDoesNotKeepThem(t *testing.T) {
 	m, received := adopted([]topo.Item{item("a", "kept", 3), item("b", "lost", 12)}, 12)
 	// The sender had not reached revision 12 of the first era.
-	m.Take(topo.Batch{After: 11, Revision: topo.RevisionIn(1, 9), Events: []topo.Event{{Item: item("c", "new", topo.RevisionIn(1, 9))}}})
+	m.ApplyBatch(topo.Batch{After: 11, Revision: topo.RevisionIn(1, 9), Events: []topo.Event{{Item: item("c", "new", topo.RevisionIn(1, 9))}}})
 	if received.value("c") == "new" && received.value("b") == "lost" {
 		t.Fatal("a change of the new era was applied to a copy with changes that were lost")
 	}
-	m.Adopt([]topo.Item{item("a", "kept", topo.RevisionIn(1, 3)), item("c", "new", topo.RevisionIn(1, 9))}, topo.RevisionIn(1, 9))
+	m.ReplaceCopy([]topo.Item{item("a", "kept", topo.RevisionIn(1, 3)), item("c", "new", topo.RevisionIn(1, 9))}, topo.RevisionIn(1, 9))
 	if received.value("b") != "" || received.value("c") != "new" {
 		t.Fatalf("b is %q, c is %q after the copy was replaced", received.value("b"), received.value("c"))
 	}
@@ -87,11 +87,11 @@
 func TestUnchangedKeysKeepTheirRevisionInANewEra(t *testing.T) {
 	changed := make(chan topo.Batch, 2)
 	m := mirror.New(memory.New(), newRecorder(), zap.NewNop())
-	m.Observe(observer{changed: changed})
-	m.Adopt([]topo.Item{item("a", "same", 3), item("b", "lost", 12)}, 12)
+	m.SetObserver(observer{changed: changed})
+	m.ReplaceCopy([]topo.Item{item("a", "same", 3), item("b", "lost", 12)}, 12)
 	<-changed
 	at := topo.RevisionIn(1, 9)
-	m.Adopt([]topo.Item{item("a", "same", topo.RevisionIn(1, 3)), item("b", "old", topo.RevisionIn(1, 5))}, at)
+	m.ReplaceCopy([]topo.Item{item("a", "same", topo.RevisionIn(1, 3)), item("b", "old", topo.RevisionIn(1, 5))}, at)
 	batch := <-changed
 	if len(batch.Events) != 1 || batch.Events[0].Key != "b" || batch.After != 12 || batch.Revision != at {
 		t.Fatalf("the change to the new era is %+v, want that of b only", batch)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -229,7 +229,7 @@
 		Node:     n.self.GetNode(),
 		Zone:     n.self.GetZone(),
 		Tokens:   tokens,
-		Table:    n.views.LatestTable,
+		Table:    n.views.BuildTable,
 		Items:    n.items,
 		Store:    n.table,
 		Groups:   n.registry.All,
@@ -296,7 +296,7 @@
 
 // publishView spreads that this node leads a group.
 func (n *Node) publishView(view *wire.GroupView) {
-	item, err := views.ItemOf(view)
+	item, err := views.GossipItemOf(view)
 	if err != nil {
 		n.logger.Error("encode group view", zap.Error(err))
 		return
--- a/internal/node/status_test.go
+++ b/internal/node/status_test.go
@@ -123,7 +123,7 @@
 // lead tells a node that this leader leads the tested service in a term.
 func (l *fakeLeader) lead(t *testing.T, n *Node, term uint64) {
 	t.Helper()
-	item, err := views.ItemOf(&wire.GroupView{Group: testedService, Generation: 1, Term: term, Leader: l.member})
+	item, err := views.GossipItemOf(&wire.GroupView{Group: testedService, Generation: 1, Term: term, Leader: l.member})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -38,11 +38,11 @@
 	copied := mirror.New(store, views, zap.NewNop())
 	changes := newChangeFeed(self, client, zap.NewNop())
 	views.Subscribe(changes.follow)
-	copied.Observe(changes)
+	copied.SetObserver(changes)
 	p := &peers{self: self, client: client, feed: changes, views: views, mirror: copied, logger: zap.NewNop()}
 	p.copies = &copyGiver{mirror: copied, feed: changes, linkBytes: 1e6}
 	p.setSeeds(nil)
-	copied.TakeFrom(copyTaker{peers: p, record: &headsRecord{store: store, feed: changes, mirror: copied, logger: zap.NewNop()}})
+	copied.SetCopySource(copyTaker{peers: p, record: &headsRecord{store: store, feed: changes, mirror: copied, logger: zap.NewNop()}})
 	server := transport.NewServer(hello, listener, nil, p, zap.NewNop())
 	go func() { _ = server.Serve() }()
 	t.Cleanup(func() {
@@ -165,7 +165,7 @@
 	const keys = 500
 	store := storeWith(keys)
 	started := newCopyNode(t, store, "started")
-	started.mirror.TakeFrom(copyTaker{
+	started.mirror.SetCopySource(copyTaker{
 		peers: started.peers, record: &headsRecord{store: store, feed: started.feed, mirror: started.mirror, logger: zap.NewNop()}, readsPerSecond: 10000,
 	})
 	// A head that takes connections and never answers.
@@ -233,7 +233,7 @@
 	}
 	for _, node := range nodes {
 		node.setSeeds([]string{seed.self.Address})
-		node.mirror.TakeFrom(copyTaker{peers: node.peers, record: &headsRecord{store: store, feed: node.feed, mirror: node.mirror, logger: zap.NewNop()}, firstStart: true})
+		node.mirror.SetCopySource(copyTaker{peers: node.peers, record: &headsRecord{store: store, feed: node.feed, mirror: node.mirror, logger: zap.NewNop()}, firstStart: true})
 	}
 	var group sync.WaitGroup
 	for _, node := range nodes[1:] {
@@ -250,6 +250,6 @@
 	store := storeWith(500)
 	node := newCopyNode(t, store, "n")
 	node.setSeeds([]string{"127.0.0.1:1"})
-	node.mirror.TakeFrom(copyTaker{peers: node.peers, record: &headsRecord{store: store, feed: node.feed, mirror: node.mirror, logger: zap.NewNop()}, firstStart: true})
+	node.mirror.SetCopySource(copyTaker{peers: node.peers, record: &headsRecord{store: store, feed: node.feed, mirror: node.mirror, logger: zap.NewNop()}, firstStart: true})
 	node.run(t)
 }
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -44,7 +44,7 @@
 
 // followNodes tells the guard of the nodes of a view.
 func (p *peers) followNodes(current *view.View) {
-	if current.Same.Nodes {
+	if current.Unchanged.Nodes {
 		return
 	}
 	names := make([]string, 0, current.Nodes.Len())
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -47,7 +47,7 @@
 
 // follow takes in which nodes are registered.
 func (c *changeFeed) follow(current *view.View) {
-	if current.Same.Nodes {
+	if current.Unchanged.Nodes {
 		return
 	}
 	members := make([]feed.Member, 0, current.Nodes.Len())
@@ -81,15 +81,15 @@
 	c.core.Confirm(at.Sub(c.start), revision)
 }
 
-// Told implements mirror.Observer.
-func (c *changeFeed) Told(at time.Time, revision int64) { c.told(at, revision) }
+// ConfirmedByPeer implements mirror.Observer.
+func (c *changeFeed) ConfirmedByPeer(at time.Time, revision int64) { c.told(at, revision) }
 
 // told takes in that another node asked the store, which had a revision at a moment. It
 // reports whether this node's copy had reached it.
 func (c *changeFeed) told(at time.Time, revision int64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.core.ConfirmTold(at.Sub(c.start), revision)
+	return c.core.ConfirmFromPeer(at.Sub(c.start), revision)
 }
 
 // Watching implements mirror.Observer.
@@ -125,7 +125,7 @@
 	changed := watching != c.watching
 	c.watching = watching
 	upstream, following := c.core.Upstream()
-	compares := c.core.Compares(now)
+	compares := c.core.ComparesRevision(now)
 	c.mutex.Unlock()
 	c.send(messages)
 	if !changed {
@@ -143,7 +143,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.now()
-	if c.core.Compares(now) {
+	if c.core.ComparesRevision(now) {
 		return feedTick, c.core.ConfirmationDue(now)
 	}
 	if !c.core.Watching(now) {
@@ -164,7 +164,7 @@
 func (c *changeFeed) given(giver feed.Member) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.core.Given(c.now(), giver)
+	c.core.SetBootstrapPeer(c.now(), giver)
 }
 
 // root reports whether this node is to watch the store for all others.
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -123,7 +123,7 @@
 	n.views.SetLapse(changes.lapsedUntil)
 	n.dispatcher.SetCopyAge(changes.confirmedAge)
 	n.views.Subscribe(changes.follow)
-	n.mirror.Observe(changes)
+	n.mirror.SetObserver(changes)
 	n.peers = &peers{
 		self: self, client: client, feed: changes,
 		views: n.views, mirror: n.mirror, dispatcher: n.dispatcher, orders: platform.Orders, logger: logger,
@@ -141,7 +141,7 @@
 	n.peers.copies = &copyGiver{mirror: n.mirror, feed: changes, linkBytes: settings.linkBytes()}
 	n.dispatcher.SetColdFound(n.peers.coldFound)
 	n.record = &headsRecord{store: platform.Store, feed: changes, mirror: n.mirror, nodes: n.peers.nodes, logger: logger}
-	n.mirror.TakeFrom(copyTaker{peers: n.peers, record: n.record, firstStart: settings.FirstStart, readsPerSecond: settings.Store.ReadsPerSecond})
+	n.mirror.SetCopySource(copyTaker{peers: n.peers, record: n.record, firstStart: settings.FirstStart, readsPerSecond: settings.Store.ReadsPerSecond})
 	n.peers.setSeeds(settings.Seeds)
 	options := shards.DefaultOptions()
 	options.Hold = min(options.Hold, time.Duration(settings.MaxHoldMillis)*time.Millisecond)
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -118,7 +118,7 @@
 
 // Written implements shardmanager.Notices.
 func (p *peers) Written(item topo.Item) {
-	event, _ := p.mirror.Offer(topo.Event{Item: item})
+	event, _ := p.mirror.ApplyPushed(topo.Event{Item: item})
 	p.toHeads(itemEnvelope(event, true))
 	p.toFollowers(itemEnvelope(event, false))
 }
@@ -184,7 +184,7 @@
 		p.feed.step(from.GetAddress(), feed.Message{Heartbeat: heartbeatOf(body.FeedHeartbeat)})
 	case *wire.Envelope_ChangeBatch:
 		if batch := p.feed.step(from.GetAddress(), feed.Message{Batch: batchOf(body.ChangeBatch)}); batch != nil {
-			p.mirror.Take(*batch)
+			p.mirror.ApplyBatch(*batch)
 		}
 	case *wire.Envelope_LoadReport:
 		p.recordLoad(body.LoadReport)
@@ -195,7 +195,7 @@
 	case *wire.Envelope_CrashReport:
 		p.takeCrashes(body.CrashReport)
 	case *wire.Envelope_TermOver:
-		p.views.TakeRetirement(view.RetiredKey(body.TermOver.GetService(), from.GetNode()), view.Retirement{
+		p.views.ApplyRetirement(view.RetirementKey(body.TermOver.GetService(), from.GetNode()), view.Retirement{
 			Process: body.TermOver.GetProcess(), Epoch: int64(body.TermOver.GetEpoch()),
 		})
 	}
@@ -213,7 +213,7 @@
 }
 
 func (p *peers) takeItem(received *wire.StoreItem) {
-	event, isNew := p.mirror.Offer(changeOf(received))
+	event, isNew := p.mirror.ApplyPushed(changeOf(received))
 	if isNew && received.GetForward() {
 		p.toFollowers(itemEnvelope(event, false))
 	}
@@ -333,7 +333,7 @@
 		return
 	}
 	// A node that the store answers only needs help if its watch stays behind.
-	if !p.mirror.Lost() && !p.mirror.CatchUp(ctx, seen.GetRevision()) {
+	if !p.mirror.StoreUnreachable() && !p.mirror.CatchUp(ctx, seen.GetRevision()) {
 		return
 	}
 	answer := p.askState(ctx, address, true)
@@ -346,7 +346,7 @@
 		return
 	}
 	p.logger.Info("state taken from another node", zap.String("address", address), zap.Int64("revision", answer.GetRevision()))
-	p.mirror.Adopt(items, answer.GetRevision())
+	p.mirror.ReplaceCopy(items, answer.GetRevision())
 }
 
 // exchangeState compares with other nodes until the context ends.
@@ -354,7 +354,7 @@
 	for ctx.Err() == nil {
 		p.compare(ctx)
 		interval := stateInterval
-		if p.mirror.Lost() {
+		if p.mirror.StoreUnreachable() {
 			interval = stateIntervalLost
 		}
 		periodic.Pause(ctx, interval)
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -87,7 +87,7 @@
 
 // followQuotas tells the limiters of the tenants and nodes of a view.
 func (p *peers) followQuotas(current *view.View) {
-	if current.Table == nil || (current.Same.Table && current.Same.Nodes) {
+	if current.Table == nil || (current.Unchanged.Table && current.Unchanged.Nodes) {
 		return
 	}
 	nodes := make([]quota.Node, 0, current.Nodes.Len())
--- a/internal/router/scale_test.go
+++ b/internal/router/scale_test.go
@@ -243,14 +243,14 @@
 			items := []topo.Item{ownerItem(b, size, 1), ownerItem(b, size, 2)}
 			first := items[0]
 			first.Revision = f.revision
-			copied.Adopt(append(f.items, first), f.revision)
+			copied.ReplaceCopy(append(f.items, first), f.revision)
 			deltas := [][]byte{delta.Make(items[0].Value, items[1].Value), delta.Make(items[1].Value, items[0].Value)}
 			b.SetBytes(int64(len(items[0].Value)))
 			b.ReportAllocs()
 			for index := 0; b.Loop(); index++ {
 				next := items[(index+1)%2]
 				event := topo.Event{Item: topo.Item{Key: next.Key, Revision: f.revision + 1}, Delta: deltas[index%2], BaseRevision: f.revision}
-				copied.Take(topo.Batch{After: f.revision, Revision: f.revision + 1, Events: []topo.Event{event}})
+				copied.ApplyBatch(topo.Batch{After: f.revision, Revision: f.revision + 1, Events: []topo.Event{event}})
 				f.revision++
 			}
 			b.ReportMetric(float64(len(deltas[0])), "delta-bytes")
--- a/internal/router/serversignals.go
+++ b/internal/router/serversignals.go
@@ -35,7 +35,7 @@
 		p.serverLimits.Observe(signals.GetServer(), *limit)
 	}
 	if signals.GetLeaving() {
-		p.views.TakeLeaving(discovery.ServerID(signals.GetServer()))
+		p.views.MarkLeaving(discovery.ServerID(signals.GetServer()))
 	}
 	if signals.GetForward() {
 		p.toFollowers(signalsEnvelope(signals, false))
--- a/internal/shardmanager/campaign.go
+++ b/internal/shardmanager/campaign.go
@@ -177,7 +177,7 @@
 	}
 	self := m.config.Self
 	// A restored store may have lost the retirement.
-	if owners.Era > m.retiredEra || current.SendsOrders(m.service, self.Name, self.Process, int64(last)) {
+	if owners.Era > m.retiredEra || current.MaySendOrders(m.service, self.Name, self.Process, int64(last)) {
 		m.writeRetirement(ctx, last)
 	}
 }
@@ -194,7 +194,7 @@
 	var newest topo.Item
 	newestEra := int64(-1)
 	for _, item := range items {
-		service, written, found := view.OwnersOf(item.Key)
+		service, written, found := view.ParseOwnersKey(item.Key)
 		if found && service == m.service && written > newestEra {
 			newest, newestEra = item, written
 		}
--- a/internal/shardmanager/campaign_test.go
+++ b/internal/shardmanager/campaign_test.go
@@ -248,7 +248,7 @@
 }
 
 func (l linked) TermOver(service string, epoch uint64) {
-	l.other.TakeRetirement(view.RetiredKey(service, l.name), view.Retirement{Process: "process of " + l.name, Epoch: int64(epoch)})
+	l.other.ApplyRetirement(view.RetirementKey(service, l.name), view.Retirement{Process: "process of " + l.name, Epoch: int64(epoch)})
 }
 
 // Seen on kervran-hq trouble-1 (keys of a dead server refused for 7 s): the store
@@ -288,7 +288,7 @@
 		return c.unserved.Commit(ctx, transaction)
 	}
 	revision, err := c.Store.Commit(ctx, transaction)
-	if err == nil && len(transaction.Puts) == 1 && strings.HasPrefix(transaction.Puts[0].Key, view.RetiredKey(service, "")) {
+	if err == nil && len(transaction.Puts) == 1 && strings.HasPrefix(transaction.Puts[0].Key, view.RetirementKey(service, "")) {
 		c.written.Add(1)
 	}
 	return revision, err
--- a/internal/shardmanager/manager.go
+++ b/internal/shardmanager/manager.go
@@ -161,7 +161,7 @@
 	if owners.Owners == nil || owners.Resigned || owners.Era >= era {
 		return false
 	}
-	return m.inReclaimGrace(era) && current.SendsOrders(m.service, owners.Author.Node, owners.Author.Process, int64(owners.Author.Epoch))
+	return m.inReclaimGrace(era) && current.MaySendOrders(m.service, owners.Author.Node, owners.Author.Process, int64(owners.Author.Epoch))
 }
 
 // campaignDelay is how long this node waits before it campaigns: the longer the
@@ -234,7 +234,7 @@
 		m.logger.Error("retirement not encoded", zap.Error(err))
 		return
 	}
-	key := view.RetiredKey(m.service, m.config.Self.Name)
+	key := view.RetirementKey(m.service, m.config.Self.Name)
 	for ctx.Err() == nil {
 		// The store may turn this node away, but not the present manager's.
 		m.config.Notices.TermOver(m.service, epoch)
@@ -244,7 +244,7 @@
 			m.retiredEra = topo.EraOf(revision)
 			// The store's word may take seconds to come back; it need not be written
 			// twice.
-			m.config.Views.TakeRetirement(key, retirement)
+			m.config.Views.ApplyRetirement(key, retirement)
 			break
 		}
 		periodic.Pause(ctx, campaignPause)
--- a/internal/shardmanager/retired_test.go
+++ b/internal/shardmanager/retired_test.go
@@ -42,7 +42,7 @@
 	at := topo.RevisionIn(1, 1)
 	views.Apply([]topo.Event{{Item: topo.Item{Key: view.OwnersKey("s", 1), Value: encoded, Revision: at}}}, at)
 	retired.disown(ctx)
-	items, _, err := store.List(ctx, view.RetiredKey("s", self.Name))
+	items, _, err := store.List(ctx, view.RetirementKey("s", self.Name))
 	if err != nil || len(items) != 1 {
 		t.Fatalf("%d retirements in the restored store, error %v, want 1", len(items), err)
 	}
--- a/internal/shardmanager/term.go
+++ b/internal/shardmanager/term.go
@@ -87,7 +87,7 @@
 	t.core.AuthorsOver(t.now(), func(author shards.Author) bool {
 		// The orders of an earlier term of this process were waited for.
 		own := author.Node == self.Name && author.Process == self.Process
-		return own || !current.SendsOrders(t.manager.service, author.Node, author.Process, int64(author.Epoch))
+		return own || !current.MaySendOrders(t.manager.service, author.Node, author.Process, int64(author.Epoch))
 	})
 }
 
--- a/internal/view/builder.go
+++ b/internal/view/builder.go
@@ -97,7 +97,7 @@
 	b.revision = revision
 	published := b.publish()
 	b.mutex.Unlock()
-	b.logger.Info("state replaced", zap.Int64("revision", revision), zap.Int("servers", published.Servers.Len()),
+	b.logger.Info("state rebuilt from a complete copy", zap.Int64("revision", revision), zap.Int("servers", published.Servers.Len()),
 		zap.Int("nodes", published.Nodes.Len()), zap.Int("owner_maps", len(published.Owners)))
 	b.notify(published)
 }
@@ -170,7 +170,7 @@
 func (b *Builder) putTable(item topo.Item) {
 	spec, err := b.documents.Table(item.Value)
 	if err != nil {
-		b.logger.Error("configuration refused", zap.Int64("revision", item.Revision), zap.Error(err))
+		b.logger.Error("configuration rejected", zap.Int64("revision", item.Revision), zap.Error(err))
 		return
 	}
 	if b.table != nil && spec.Version <= b.table.Version() {
@@ -178,7 +178,7 @@
 	}
 	table, err := routing.NewTable(spec)
 	if err != nil {
-		b.logger.Error("configuration refused", zap.Int64("version", spec.Version), zap.Error(err))
+		b.logger.Error("configuration rejected", zap.Int64("version", spec.Version), zap.Error(err))
 		return
 	}
 	b.table = table
@@ -198,7 +198,7 @@
 		evacuation.Since = time.Now()
 	}
 	b.evacuations.put(zone, evacuation)
-	b.logger.Info("zone evacuated", zap.String("zone", zone), zap.Int64("revision", item.Revision))
+	b.logger.Info("zone evacuation started", zap.String("zone", zone), zap.Int64("revision", item.Revision))
 }
 
 func (b *Builder) endEvacuation(zone string) {
@@ -214,7 +214,7 @@
 // putOwners applies an owner map if it was written after the present one. A restored store may
 // contain older ones.
 func (b *Builder) putOwners(item topo.Item) {
-	service, era, _ := OwnersOf(item.Key)
+	service, era, _ := ParseOwnersKey(item.Key)
 	before := b.owners.get(service)
 	if item.Revision <= before.Revision {
 		// The map was already received directly, before the watch reported it; decoding it again
@@ -223,7 +223,7 @@
 	}
 	decoded, err := shards.DecodeOwners(item.Value, before.Owners)
 	if err != nil {
-		b.logger.Error("owner map refused", zap.String("service", service), zap.Error(err))
+		b.logger.Error("invalid owner map ignored", zap.String("service", service), zap.Error(err))
 		return
 	}
 	if before.Owners != nil && before.NewerThan(decoded) {
@@ -237,7 +237,7 @@
 func (b *Builder) putManager(service string, item topo.Item) {
 	var manager Manager
 	if err := json.Unmarshal(item.Value, &manager); err != nil {
-		b.logger.Error("manager entry refused", zap.String("service", service), zap.Error(err))
+		b.logger.Error("invalid manager entry ignored", zap.String("service", service), zap.Error(err))
 		return
 	}
 	manager.Revision = item.Revision
@@ -247,15 +247,15 @@
 func (b *Builder) putRetired(item topo.Item) {
 	var retired Retirement
 	if err := json.Unmarshal(item.Value, &retired); err != nil {
-		b.logger.Error("retirement refused", zap.String("key", item.Key), zap.Error(err))
+		b.logger.Error("invalid retirement ignored", zap.String("key", item.Key), zap.Error(err))
 		return
 	}
 	b.retired.put(item.Key, retired)
 }
 
-// TakeRetirement applies a retirement that the retired node sent directly, before the store reports
+// ApplyRetirement applies a retirement that the retired node sent directly, before the store reports
 // it.
-func (b *Builder) TakeRetirement(key string, retired Retirement) {
+func (b *Builder) ApplyRetirement(key string, retired Retirement) {
 	b.mutex.Lock()
 	known := b.retired.get(key)
 	if known.Process == retired.Process && known.Epoch >= retired.Epoch {
@@ -265,20 +265,20 @@
 	b.retired.put(key, retired)
 	published := b.publish()
 	b.mutex.Unlock()
-	b.logger.Info("retirement told", zap.String("key", key), zap.Int64("epoch", retired.Epoch))
+	b.logger.Info("manager retirement published", zap.String("key", key), zap.Int64("epoch", retired.Epoch))
 	b.notify(published)
 }
 
 func (b *Builder) putNode(name string, item topo.Item) {
 	var node Node
 	if err := json.Unmarshal(item.Value, &node); err != nil {
-		b.logger.Error("node entry refused", zap.String("node", name), zap.Error(err))
+		b.logger.Error("invalid node entry ignored", zap.String("node", name), zap.Error(err))
 		return
 	}
 	known, present := b.nodes.content.Lookup(name)
 	// A restored store has the entry of an earlier process until the present process registers.
 	if _, lapsed := b.lapse(); lapsed && known.Process > node.Process {
-		b.logger.Info("entry of an earlier process ignored", zap.String("node", name), zap.Int64("revision", item.Revision))
+		b.logger.Info("node entry of an earlier process ignored", zap.String("node", name), zap.Int64("revision", item.Revision))
 		return
 	}
 	if !present || known != node {
@@ -308,10 +308,10 @@
 	}
 	before := b.current.Load()
 	published := &View{Revision: b.revision, Table: b.table}
-	published.Same.Table = before != nil && before.Table == b.table
+	published.Unchanged.Table = before != nil && before.Table == b.table
 	b.servers.publish(published)
-	published.Nodes, published.Same.Nodes = b.nodes.publish()
-	published.Evacuations, published.Same.Evacuations = b.evacuations.publish()
+	published.Nodes, published.Unchanged.Nodes = b.nodes.publish()
+	published.Evacuations, published.Unchanged.Evacuations = b.evacuations.publish()
 	published.Owners, _ = b.owners.publish()
 	published.Managers, _ = b.managers.publish()
 	published.Retired, _ = b.retired.publish()
--- a/internal/view/entries.go
+++ b/internal/view/entries.go
@@ -30,7 +30,7 @@
 	entry, err := b.documents.Server(instance, item.Value)
 	if err != nil {
 		if b.refusals.recordRefusal(instance) {
-			b.logger.Error("server entry refused", zap.String("server", instance), zap.Int64("revision", item.Revision), zap.Error(err))
+			b.logger.Error("invalid server entry, treated as missing", zap.String("server", instance), zap.Int64("revision", item.Revision), zap.Error(err))
 		}
 		b.markGone(instance)
 		return
@@ -68,7 +68,7 @@
 	}
 	previous := b.servers.get(known)
 	if entry.StartedAt < previous.StartedAt {
-		b.logger.Info("entry of an earlier life passed over", zap.String("server", string(entry.ID)),
+		b.logger.Info("entry of an earlier server incarnation ignored", zap.String("server", string(entry.ID)),
 			zap.String("newest", string(known)), zap.Int64("revision", revision))
 		return false
 	}
@@ -79,7 +79,7 @@
 	}
 	b.servers.put(&ended)
 	b.incarnations[instance] = entry.ID
-	b.logger.Info("server started again", zap.String("server", string(entry.ID)), zap.String("before", string(known)),
+	b.logger.Info("server restarted", zap.String("server", string(entry.ID)), zap.String("before", string(known)),
 		zap.Int64("revision", revision))
 	return true
 }
@@ -119,10 +119,10 @@
 // entry is missing: after an outage of the store, the entry may return without the draining state.
 const leavingRetention = 10 * time.Minute
 
-// TakeLeaving records that a server announced in an answer that it is leaving, and reports whether
+// MarkLeaving records that a server announced in an answer that it is leaving, and reports whether
 // that is new for a known server. The store may report it much later, or never if it is
 // unavailable, so the server counts as draining from now on, whatever its entry says.
-func (b *Builder) TakeLeaving(id discovery.ServerID) bool {
+func (b *Builder) MarkLeaving(id discovery.ServerID) bool {
 	b.mutex.Lock()
 	if _, announced := b.leaving[id]; announced {
 		b.mutex.Unlock()
@@ -141,7 +141,7 @@
 	b.servers.put(&leaving)
 	published := b.publish()
 	b.mutex.Unlock()
-	b.logger.Info("server draining, as it answered", zap.String("server", string(id)))
+	b.logger.Info("server draining, announced in response", zap.String("server", string(id)))
 	b.notify(published)
 	return true
 }
--- a/internal/view/restored_test.go
+++ b/internal/view/restored_test.go
@@ -49,7 +49,7 @@
 func TestKeysOfOwnerMapsNameServiceAndEra(t *testing.T) {
 	for _, service := range []string{"s", "s/t", "s/era/x"} {
 		for _, era := range []int64{0, 1, 12} {
-			if named, written, found := view.OwnersOf(view.OwnersKey(service, era)); !found || named != service || written != era {
+			if named, written, found := view.ParseOwnersKey(view.OwnersKey(service, era)); !found || named != service || written != era {
 				t.Errorf("key of service %q, era %d: parsed as %q, %d, %v", service, era, named, written, found)
 			}
 		}
@@ -84,10 +84,10 @@
 	builder, _ := withServer()
 	builder.Apply([]topo.Event{{Item: nodeItem(t, "01", 10)}}, 10)
 	current := builder.Current()
-	if !current.SendsOrders("s", "n", "02", 1) {
+	if !current.MaySendOrders("s", "n", "02", 1) {
 		t.Error("a process counts as ended although only an earlier one is registered")
 	}
-	if current.SendsOrders("s", "n", "00", 1) {
+	if current.MaySendOrders("s", "n", "00", 1) {
 		t.Error("a process counts as running although a later one is registered")
 	}
 }
--- a/internal/view/servers.go
+++ b/internal/view/servers.go
@@ -97,6 +97,6 @@
 	// Allocate new maps: iterating over a map that was once large, as with the first copy, stays
 	// slow.
 	x.touched, x.changed = make(map[string]bool), make(map[discovery.ServerID]bool)
-	next.Servers, next.Same.Servers = x.byID.publish()
+	next.Servers, next.Unchanged.Servers = x.byID.publish()
 	next.Services, _ = x.services.publish()
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -44,8 +44,8 @@
 	return ownersPrefix + service + eraSuffix + strconv.FormatInt(era, 10)
 }
 
-// OwnersOf returns the service and the era of an owner map's key, and false for any other key.
-func OwnersOf(key string) (service string, era int64, found bool) {
+// ParseOwnersKey returns the service and the era of an owner map's key, and false for any other key.
+func ParseOwnersKey(key string) (service string, era int64, found bool) {
 	name, found := strings.CutPrefix(key, ownersPrefix)
 	if !found {
 		return "", 0, false
@@ -58,9 +58,9 @@
 	return name, 0, true
 }
 
-// RetiredKey returns the key of the retirement of a node from its last term as the manager of a
+// RetirementKey returns the key of the retirement of a node from its last term as the manager of a
 // service, if that term ended with the loss of the lock.
-func RetiredKey(service, node string) string { return retiredPrefix + service + "/" + node }
+func RetirementKey(service, node string) string { return retiredPrefix + service + "/" + node }
 
 // Retirement states that a node sends no more orders of a term or of earlier terms.
 type Retirement struct {
@@ -164,13 +164,13 @@
 	Changed  []discovery.ServerID
 	Owners   map[string]Owners
 	Managers map[string]Manager
-	// Retired holds retirements by RetiredKey.
+	// Retired holds retirements by RetirementKey.
 	Retired map[string]Retirement
 	Nodes   Index[string, Node]
 	// Evacuations holds, by zone, the evacuations in force and those that have ended.
 	Evacuations map[string]Evacuation
-	// Same tells which parts are unchanged since the previous view.
-	Same UnchangedParts
+	// Unchanged tells which parts are unchanged since the previous view.
+	Unchanged UnchangedParts
 }
 
 // UnchangedParts tells, for parts of a view, whether they are the same as in the previous view.
@@ -208,13 +208,13 @@
 	return s.WarmAt
 }
 
-// SendsOrders reports whether a node may still send orders of a term as the manager of a service:
+// MaySendOrders reports whether a node may still send orders of a term as the manager of a service:
 // no later process of the node has registered, and it has not retired from the term.
-func (v *View) SendsOrders(service, node, process string, epoch int64) bool {
+func (v *View) MaySendOrders(service, node, process string, epoch int64) bool {
 	// In a restored store, an earlier process than the given one may be registered.
 	if registered, known := v.Nodes.Lookup(node); known && registered.Process > process {
 		return false
 	}
-	retired := v.Retired[RetiredKey(service, node)]
+	retired := v.Retired[RetirementKey(service, node)]
 	return retired.Process != process || retired.Epoch < epoch
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -95,17 +95,17 @@
 
 func TestViewsSayWhichPartsAreTheSame(t *testing.T) {
 	builder, _ := withServer()
-	if builder.Current().Same.Servers {
+	if builder.Current().Unchanged.Servers {
 		t.Error("servers count as the same after one registered")
 	}
 	node := topo.Item{Key: view.NodeKey("a"), Value: []byte(`{"name":"a"}`), Revision: 2}
 	builder.Apply([]topo.Event{{Item: node}}, 2)
-	if same := builder.Current().Same; same.Nodes || !same.Servers || !same.Table {
+	if same := builder.Current().Unchanged; same.Nodes || !same.Servers || !same.Table {
 		t.Errorf("after a node registered the same parts are %+v", same)
 	}
 	node.Revision = 3
 	builder.Apply([]topo.Event{{Item: node}}, 3)
-	if !builder.Current().Same.Nodes {
+	if !builder.Current().Unchanged.Nodes {
 		t.Error("nodes count as changed although the entry is the same")
 	}
 }
@@ -116,8 +116,8 @@
 	builder, _ := withServer()
 	published := 0
 	builder.Subscribe(func(*view.View) { published++ })
-	if !builder.TakeLeaving("one") || builder.TakeLeaving("one") {
-		t.Error("TakeLeaving must report only the first announcement as new")
+	if !builder.MarkLeaving("one") || builder.MarkLeaving("one") {
+		t.Error("MarkLeaving must report only the first announcement as new")
 	}
 	if builder.Current().Servers.Get("one").DrainingSince.IsZero() || published != 1 {
 		t.Errorf("the server is not draining or %d views were published, want one", published)
@@ -132,8 +132,8 @@
 // expired during a long outage of the store.
 func TestLeavingServerThatRegistersAgainIsDraining(t *testing.T) {
 	builder, _ := withServer()
-	if builder.TakeLeaving("two") {
-		t.Error("TakeLeaving reports a change for an unknown server")
+	if builder.MarkLeaving("two") {
+		t.Error("MarkLeaving reports a change for an unknown server")
 	}
 	builder.Apply([]topo.Event{{Item: topo.Item{Key: "servers/two", Revision: 2}}}, 2)
 	if builder.Current().Servers.Get("two").DrainingSince.IsZero() {
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -49,8 +49,8 @@
 // version; the bits above hold the term.
 const versionBits = 20
 
-// ItemOf returns the gossip item for a group's view.
-func ItemOf(view *wire.GroupView) (*wire.GossipItem, error) {
+// GossipItemOf returns the gossip item for a group's view.
+func GossipItemOf(view *wire.GroupView) (*wire.GossipItem, error) {
 	value, err := proto.Marshal(view)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 		tableChanged = true
 	}
 	if tableChanged {
-		v.setTable(v.LatestTable())
+		v.setTable(v.BuildTable())
 	}
 	if leaderChanged {
 		v.refreshLeaders()
@@ -121,15 +121,15 @@
 	v.current = latest
 }
 
-// LatestTable builds the table from the stored entries. It may be newer than Table, which changes
+// BuildTable builds the table from the stored entries. It may be newer than Table, which changes
 // only in Refresh. An entry that cannot be decoded, which only a foreign writer can have created,
 // is left out and logged.
-func (v *Views) LatestTable() *table.Table {
+func (v *Views) BuildTable() *table.Table {
 	latest := &table.Table{}
 	for _, item := range v.items.WithPrefix(table.Prefix) {
 		var change table.Change
 		if err := json.Unmarshal(item.GetValue(), &change); err != nil {
-			v.logger.Error("table entry cannot be read", zap.String("key", item.GetKey()), zap.Error(err))
+			v.logger.Error("cannot decode table entry", zap.String("key", item.GetKey()), zap.Error(err))
 			continue
 		}
 		switch {
@@ -138,7 +138,7 @@
 		case change.Row != nil && change.Row.Validate() == nil:
 			latest.Rows = append(latest.Rows, *change.Row)
 		default:
-			v.logger.Error("table entry is not valid", zap.String("key", item.GetKey()))
+			v.logger.Error("invalid table entry ignored", zap.String("key", item.GetKey()))
 		}
 	}
 	latest.Sort()
@@ -150,7 +150,7 @@
 	for _, item := range v.items.WithPrefix(groupPrefix) {
 		view := &wire.GroupView{}
 		if err := proto.Unmarshal(item.GetValue(), view); err != nil {
-			v.logger.Error("group view cannot be read", zap.String("key", item.GetKey()), zap.Error(err))
+			v.logger.Error("cannot decode group view", zap.String("key", item.GetKey()), zap.Error(err))
 			continue
 		}
 		leaders[view.GetGroup()] = view
