--- a/internal/dispatch/ending_queue_test.go
+++ b/internal/dispatch/shutdown_queue_test.go
@@ -9,47 +9,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// freePlaces gives a server's places back and lets requests that wait have them.
-func freePlaces(d *Dispatcher, id string) {
+// freeSlots releases all slots of a server and serves the waiting requests.
+func freeSlots(d *Dispatcher, id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for known, s := range d.servers {
 		if string(known) == id {
 			s.outstanding = 0
-			d.pump(s.Service)
+			d.serveWaiters(s.Service)
 		}
 	}
 }
 
-// A request that came before the node was told to stop, and gets a server after that,
-// has no more time than one that came later: its server is told so.
+// A request that was queued before the shutdown began, and gets a server afterwards, has no
+// more time than a later one. Its server is told the shortened deadline.
 func TestServersOfQueuedRequestsAreToldWhenTheNodeEnds(t *testing.T) {
-	serve, told := telling()
-	d, _ := stopping(t, serve)
+	serve, told := deadlineRecorder()
+	d, _ := newSingleServerDispatcher(t, serve)
 	d.server("a").outstanding = 100
 	const left = 10 * time.Second
 	time.AfterFunc(50*time.Millisecond, func() {
 		d.EndBy(time.Now().Add(left))
-		freePlaces(d, "a")
+		freeSlots(d, "a")
 	})
-	request := patient()
+	request := longRequest()
 	request.ID = ""
 	if _, _, err := d.Do(context.Background(), request); err != nil {
 		t.Fatal(err)
 	}
 	if latest := (left - answerMargin).Milliseconds(); told.Load() <= 0 || told.Load() > latest {
-		t.Errorf("server was told %d ms, at most %d are left", told.Load(), latest)
+		t.Errorf("server was told %d ms, want at most %d", told.Load(), latest)
 	}
 }
 
-// The same request is refused, and reaches no server, if its answer would come too late.
+// A queued request is refused without reaching a server if its answer would come too late.
 func TestHopelessQueuedRequestOfAStoppingNodeReachesNoServer(t *testing.T) {
-	d, arrived := stopping(t, untilLeft)
+	d, arrived := newSingleServerDispatcher(t, blockUntilCanceled)
 	d.server("a").outstanding, d.server("a").latency = 100, 40
-	request := patient()
+	request := longRequest()
 	time.AfterFunc(50*time.Millisecond, func() {
 		d.EndBy(time.Now().Add(time.Second))
-		freePlaces(d, "a")
+		freeSlots(d, "a")
 	})
 	_, _, err := d.Do(context.Background(), request)
 	var refusal *Refusal
@@ -59,13 +59,14 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if outstanding := d.server("a").outstanding; outstanding != 0 {
-		t.Errorf("%d places at the server are still taken", outstanding)
+		t.Errorf("%d slots at the server are still reserved", outstanding)
 	}
 }
 
-// A place that a hopeless request gives back goes to the next one at once.
+// A slot that is released because the answer would come too late goes to the next request
+// at once.
 func TestPlaceOfAHopelessRequestGoesToTheNext(t *testing.T) {
-	d, arrived := stopping(t, func(writer http.ResponseWriter, _ *http.Request) {
+	d, arrived := newSingleServerDispatcher(t, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Signature", "signed")
 	})
 	a := d.server("a")
@@ -85,18 +86,19 @@
 				return
 			}
 		}
-		t.Fatalf("no %d requests wait", waiting)
+		t.Fatalf("timed out waiting for %d queued requests", waiting)
 	}
-	queue(patient(), 1)
-	// The second one has less time than the node, and so may be served to the last.
-	brief := patient()
+	queue(longRequest(), 1)
+	// The second request's own deadline is earlier than the node's end, so it may still be
+	// served.
+	brief := longRequest()
 	brief.Deadline = time.Now().Add(5 * time.Second)
 	queue(brief, 2)
 	d.EndBy(time.Now().Add(30 * time.Second))
 	d.mutex.Lock()
 	a.latency = 40
 	d.mutex.Unlock()
-	freePlaces(d, "a")
+	freeSlots(d, "a")
 	served, refused := 0, 0
 	for range 2 {
 		switch err := <-results; {
@@ -107,6 +109,6 @@
 		}
 	}
 	if served != 1 || refused != 1 || arrived.Load() != 1 {
-		t.Errorf("%d served, %d refused, %d at the server, want one each", served, refused, arrived.Load())
+		t.Errorf("%d served, %d refused, %d reached the server, want one each", served, refused, arrived.Load())
 	}
 }
--- a/internal/dispatch/ending_test.go
+++ b/internal/dispatch/shutdown_test.go
@@ -13,9 +13,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// stopping returns a dispatcher with one server, which answers with serve, and a count
-// of the requests that reached it.
-func stopping(t *testing.T, serve http.HandlerFunc) (*Dispatcher, *atomic.Int64) {
+// newSingleServerDispatcher returns a dispatcher with one server, which answers with serve,
+// and the number of requests that reached it.
+func newSingleServerDispatcher(t *testing.T, serve http.HandlerFunc) (*Dispatcher, *atomic.Int64) {
 	t.Helper()
 	var arrived atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, incoming *http.Request) {
@@ -26,44 +26,46 @@
 	return dispatcherOf(map[string]string{"a": strings.TrimPrefix(backend.URL, "http://")}), &arrived
 }
 
-// patient is a request that has far more time than a stopping node.
-func patient() *Request {
-	request := order()
+// longRequest returns a request whose deadline is far beyond the shutdown of a node.
+func longRequest() *Request {
+	request := unsafeRequest()
 	request.Route.Timeout = time.Minute
 	request.Route.Objective = time.Minute
 	request.Deadline = request.ArrivedAt.Add(time.Minute)
 	return request
 }
 
-func untilLeft(_ http.ResponseWriter, incoming *http.Request) { <-incoming.Context().Done() }
+func blockUntilCanceled(_ http.ResponseWriter, incoming *http.Request) { <-incoming.Context().Done() }
 
-// A request that is at a server when the node ends is told that it may have run.
+// The client of a request that is at a server when the node shuts down is told that it may
+// have been executed.
 func TestRequestAtAServerEndsWithTheNode(t *testing.T) {
-	d, arrived := stopping(t, untilLeft)
+	d, arrived := newSingleServerDispatcher(t, blockUntilCanceled)
 	end := time.Now().Add(300 * time.Millisecond)
 	time.AfterFunc(50*time.Millisecond, func() { d.EndBy(end) })
-	_, _, err := d.Do(context.Background(), patient())
+	_, _, err := d.Do(context.Background(), longRequest())
 	if !errors.Is(err, ErrNodeEnds) || errors.Is(err, ErrNotExecuted) {
-		t.Errorf("%v, want that the node ends", err)
+		t.Errorf("error %v, want ErrNodeEnds", err)
 	}
 	if arrived.Load() != 1 {
 		t.Errorf("%d requests reached the server, want 1", arrived.Load())
 	}
 }
 
-// A request that waits for a server when the node ends has not run.
+// A request that is still queued when the node shuts down was not executed.
 func TestWaitingRequestEndsWithTheNode(t *testing.T) {
-	d, arrived := stopping(t, untilLeft)
+	d, arrived := newSingleServerDispatcher(t, blockUntilCanceled)
 	d.server("a").outstanding = 100
 	time.AfterFunc(50*time.Millisecond, func() { d.EndBy(time.Now().Add(200 * time.Millisecond)) })
-	_, _, err := d.Do(context.Background(), patient())
+	_, _, err := d.Do(context.Background(), longRequest())
 	var refusal *Refusal
 	if !errors.As(err, &refusal) || arrived.Load() != 0 {
 		t.Errorf("%v with %d requests at the server, want a refusal and none", err, arrived.Load())
 	}
 }
 
-// What cannot be answered before the end is refused at once and reaches no server.
+// Requests that cannot be answered before the node's end are refused at once and reach no
+// server.
 func TestHopelessRequestOfAStoppingNodeIsRefusedAtOnce(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -75,11 +77,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d, arrived := stopping(t, untilLeft)
+			d, arrived := newSingleServerDispatcher(t, blockUntilCanceled)
 			d.server("a").latency = c.latency
 			d.EndBy(time.Now().Add(c.left))
 			startedAt := time.Now()
-			_, _, err := d.Do(context.Background(), patient())
+			_, _, err := d.Do(context.Background(), longRequest())
 			var refusal *Refusal
 			if !errors.As(err, &refusal) || arrived.Load() != 0 {
 				t.Errorf("%v with %d requests at the server, want a refusal and none", err, arrived.Load())
@@ -89,15 +91,15 @@
 				t.Errorf("refused after %v", took)
 			}
 			if outstanding := d.server("a").outstanding; outstanding != 0 {
-				t.Errorf("%d places at the server are still taken", outstanding)
+				t.Errorf("%d slots at the server are still reserved", outstanding)
 			}
 		})
 	}
 }
 
-// telling returns a server's handler that answers, and what the last request told it of
-// the time that is left, in milliseconds.
-func telling() (http.HandlerFunc, *atomic.Int64) {
+// deadlineRecorder returns a handler that answers, and the remaining time in milliseconds
+// that the last request's header stated.
+func deadlineRecorder() (http.HandlerFunc, *atomic.Int64) {
 	var told atomic.Int64
 	return func(writer http.ResponseWriter, incoming *http.Request) {
 		millis, _ := strconv.ParseInt(incoming.Header.Get("Deadline"), 10, 64)
@@ -106,18 +108,18 @@
 	}, &told
 }
 
-// Servers must know how little time is left, so that they answer before the node ends.
+// Servers must know the remaining time to answer before the node's end.
 func TestServersAreToldWhenTheNodeEnds(t *testing.T) {
-	serve, told := telling()
-	d, _ := stopping(t, serve)
+	serve, told := deadlineRecorder()
+	d, _ := newSingleServerDispatcher(t, serve)
 	const left = 10 * time.Second
 	d.EndBy(time.Now().Add(left))
-	request := patient()
+	request := longRequest()
 	request.ID = ""
 	if _, _, err := d.Do(context.Background(), request); err != nil {
 		t.Fatal(err)
 	}
 	if latest := (left - answerMargin).Milliseconds(); told.Load() <= 0 || told.Load() > latest {
-		t.Errorf("server was told %d ms, at most %d are left", told.Load(), latest)
+		t.Errorf("server was told %d ms, want at most %d", told.Load(), latest)
 	}
 }
--- a/internal/dispatch/signals.go
+++ b/internal/dispatch/signals.go
@@ -11,40 +11,42 @@
 	"github.com/micahaven/micahaven/internal/upstream"
 )
 
-// Signal is what a server asked of all nodes in an answer to this one.
+// Signal is a backpressure signal, received in an answer of a server, that concerns all
+// nodes.
 type Signal struct {
-	// Limit is the limit that it names, or that it names none any more; nil if that hasn't
-	// changed.
+	// Limit is the rate limit that the server announced, or that it announces none any
+	// more; nil if unchanged.
 	Limit *quota.Observation
-	// Leaving is true if it has said that it leaves.
+	// Leaving is true if the server announced that it is leaving.
 	Leaving bool
 }
 
-// Signalled tells the other nodes what a server asked of all of them. Most of them would
-// hear nothing of it before they have sent the server something themselves.
-type Signalled func(server discovery.ServerID, told Signal)
+// SignalFunc notifies the other nodes of a server's signal. Most of them would otherwise
+// learn of it only when they send the server a request themselves.
+type SignalFunc func(server discovery.ServerID, signal Signal)
 
-// SetSignalled sets what is told of what servers ask. It must be called before the first
-// request.
-func (d *Dispatcher) SetSignalled(signalled Signalled) { d.signalled = signalled }
+// SetSignalled sets the notification of servers' signals. It must be called before the
+// first request.
+func (d *Dispatcher) SetSignalled(onSignal SignalFunc) { d.onSignal = onSignal }
 
-// observeSignals takes in what a server asks for in an answer to this node.
+// observeSignals applies the signals in an answer to a request that this node sent.
 func (d *Dispatcher) observeSignals(s *server, answer *upstream.Answer) {
-	if signals, speaks := d.signalsOf(answer); speaks {
+	if signals, fromServer := d.signalsOf(answer); fromServer {
 		d.takeSignals(s, signals)
 	}
 }
 
-// observeHanded takes in what a server asks for in an answer that came through its home: this
-// node may send it requests itself, and must know by then. Rest was asked of the home alone.
-func (d *Dispatcher) observeHanded(trace Trace, answer *upstream.Answer) {
+// observeHandoffSignals applies the signals in an answer that came through the server's
+// home, because this node may later send requests to the server itself. A requested
+// back-off is ignored, as it was meant for the home only.
+func (d *Dispatcher) observeHandoffSignals(trace Trace, answer *upstream.Answer) {
 	if answer == nil {
 		return
 	}
-	signals, speaks := d.signalsOf(answer)
+	signals, fromServer := d.signalsOf(answer)
 	signals.Rest = 0
 	_, limited := d.limits.Observed(trace.Server)
-	if nothing := !limited && signals == (backpressure.Signals{}); nothing || !speaks {
+	if nothing := !limited && signals == (backpressure.Signals{}); nothing || !fromServer {
 		return
 	}
 	d.mutex.Lock()
@@ -55,26 +57,27 @@
 	}
 }
 
-// takeSignals takes in what a server asks for.
+// takeSignals applies the signals of a server.
 func (d *Dispatcher) takeSignals(s *server, signals backpressure.Signals) {
 	countSignals(signals)
 	now := time.Now()
 	d.mutex.Lock()
-	before := s.signals
+	previous := s.signals
 	s.signals = signals
 	if signals.Rest > 0 {
-		s.rest(now, signals.Rest)
+		s.extendBackoff(now, signals.Rest)
 	}
 	d.mutex.Unlock()
-	d.logSignals(s, before, signals)
+	d.logSignals(s, previous, signals)
 	d.observeLimit(s, signals)
-	if signals.Leaving && !before.Leaving && d.views.MarkLeaving(s.id) {
-		d.signalled(s.id, Signal{Leaving: true})
+	if signals.Leaving && !previous.Leaving && d.views.MarkLeaving(s.id) {
+		d.onSignal(s.id, Signal{Leaving: true})
 	}
 }
 
-// signalsOf returns what an answer says; false if it isn't the word of the server that was
-// asked: another one may have its address now, and what is damaged says nothing.
+// signalsOf returns the signals in an answer; false if they are not from the server that
+// was asked. Another server may have its address by now, and an unsigned answer without
+// signals may be damaged.
 func (d *Dispatcher) signalsOf(answer *upstream.Answer) (backpressure.Signals, bool) {
 	if d.headers.Signals == nil || answer.Status == statusMisdirected {
 		return backpressure.Signals{}, false
@@ -96,19 +99,19 @@
 	}
 }
 
-// logSignals writes a line for each thing that a server asks for now and did not before.
-func (d *Dispatcher) logSignals(s *server, before, now backpressure.Signals) {
+// logSignals logs each signal that was not in the server's previous answer.
+func (d *Dispatcher) logSignals(s *server, previous, now backpressure.Signals) {
 	id := zap.String("server", string(s.id))
 	switch {
-	case now.Limited && (!before.Limited || before.Rate != now.Rate):
+	case now.Limited && (!previous.Limited || previous.Rate != now.Rate):
 		d.logger.Info("server names a limit", id, zap.Float64("rate", now.Rate))
-	case before.Limited && !now.Limited:
-		d.logger.Info("server names no limit any more", id, zap.Float64("before", before.Rate))
+	case previous.Limited && !now.Limited:
+		d.logger.Info("server names no limit any more", id, zap.Float64("before", previous.Rate))
 	}
-	if now.Leaving && !before.Leaving {
+	if now.Leaving && !previous.Leaving {
 		d.logger.Info("server says that it leaves", id)
 	}
-	if now.Rest > 0 && before.Rest == 0 {
+	if now.Rest > 0 && previous.Rest == 0 {
 		d.logger.Info("server asks for rest", id, zap.Duration("for", now.Rest))
 	}
 }
--- a/internal/dispatch/subset.go
+++ b/internal/dispatch/subset.go
@@ -8,60 +8,62 @@
 )
 
 const (
-	// nodesPerSlot is from how many nodes each slot of a server gets requests: enough
-	// that some of them always have one, and so few that a request of each of them at
-	// the same time waits at the server for a multiple of its work that still is within
-	// objectives.
+	// nodesPerSlot is the number of nodes that send requests to each slot of a server. It
+	// is large enough that some of them always have a request, and small enough that
+	// simultaneous requests from all of them wait for a multiple of the service time that
+	// is still within the objectives.
 	nodesPerSlot = 3
-	// leastSubset is the least number of servers that a node sends to, so that one or two
-	// that fail leave it others.
+	// leastSubset is the minimum number of servers that a node sends to, so that others
+	// remain if one or two fail.
 	leastSubset = 3
 )
 
-// prefer chooses the servers of an undivided service to which this node sends: some of its
-// own zone, and some of the others for when those are busy. Each node has others, so that a
-// server gets requests from few nodes, which therefore know it well, keep their connections
-// busy and cannot overrun it together. The caller holds the mutex.
-func (d *Dispatcher) prefer(of *service) {
-	for _, s := range of.preferred {
+// selectPreferred selects the subset of an undivided service's servers that this node sends
+// to: some in its own zone, and some in other zones for when those are busy. Each node has
+// a different subset. A server therefore gets requests from few nodes, which know its load,
+// keep their connections to it in use and cannot overload it together. The caller holds the
+// mutex.
+func (d *Dispatcher) selectPreferred(svc *service) {
+	for _, s := range svc.preferred {
 		s.preferred = false
 	}
-	of.preferred = of.preferred[:0]
-	of.choose(&of.near, len(d.zone))
-	of.choose(&of.far, d.nodes)
+	svc.preferred = svc.preferred[:0]
+	svc.markPreferred(&svc.sameZone, len(d.zone))
+	svc.markPreferred(&svc.otherZones, d.nodes)
 }
 
-// choose marks the first of some servers, which a number of nodes share.
-func (of *service) choose(among *ranked, nodes int) {
+// markPreferred adds the highest-ranked servers of a list to the preferred ones. nodes is
+// the number of nodes that share the list.
+func (svc *service) markPreferred(among *rankedServers, nodes int) {
 	for _, s := range among.servers[:min(subsetSize(among.slots, nodes), len(among.servers))] {
 		s.preferred = true
-		of.preferred = append(of.preferred, s)
+		svc.preferred = append(svc.preferred, s)
 	}
 }
 
-// subsetSize is how many servers with a number of slots together a node sends to if a
-// number of nodes share them.
+// subsetSize is the number of servers that a node sends to, given their total slots and the
+// number of nodes that share them.
 func subsetSize(slots, nodes int) int {
 	share := float64(nodesPerSlot*slots) / float64(max(1, nodes))
 	return max(leastSubset, int(math.Ceil(share)))
 }
 
-// candidates returns the servers of an undivided service to which this node sends now:
-// those that it prefers, or all if none of those can be reached. The caller holds the
-// mutex.
+// candidates returns the servers of an undivided service that this node may send to now:
+// its preferred servers, those whose home it is and those that are warming up, or all
+// servers if none of these is available. The caller holds the mutex.
 func (d *Dispatcher) candidates(now time.Time, current *view.View, name string) []*server {
-	of := d.services[name]
-	if of == nil {
+	svc := d.services[name]
+	if svc == nil {
 		return nil
 	}
-	candidates := make([]*server, 0, len(of.preferred)+len(of.cold))
+	candidates := make([]*server, 0, len(svc.preferred)+len(svc.cold))
 	up := false
 	add := func(s *server) {
 		_, bounded := d.warming(now, current, s)
 		candidates = append(candidates, s)
-		up = up || (!bounded && s.reachable(now, 0) && !s.passedOver(now))
+		up = up || (!bounded && s.reachable(now, 0) && !s.inBackoff(now))
 	}
-	for _, s := range of.preferred {
+	for _, s := range svc.preferred {
 		add(s)
 	}
 	for _, s := range d.homeGroup(current, name) {
@@ -69,8 +71,8 @@
 			add(s)
 		}
 	}
-	for _, s := range d.bounded(now, current, of) {
-		if !s.preferred && !s.home {
+	for _, s := range d.bounded(now, current, svc) {
+		if !s.preferred && !s.isHome {
 			add(s)
 		}
 	}
@@ -78,19 +80,19 @@
 		return candidates
 	}
 	candidates = candidates[:0]
-	for _, s := range of.members {
+	for _, s := range svc.members {
 		candidates = append(candidates, s)
 	}
 	return candidates
 }
 
-// bounded returns the servers of a service that warm up, if what they bear then is bounded.
-// The caller holds the mutex.
-func (d *Dispatcher) bounded(now time.Time, current *view.View, of *service) []*server {
+// bounded returns the servers of a service that are warming up at a bounded rate. The
+// caller holds the mutex.
+func (d *Dispatcher) bounded(now time.Time, current *view.View, svc *service) []*server {
 	var found []*server
-	for id, s := range of.cold {
+	for id, s := range svc.cold {
 		if !now.Before(s.warmAt(current)) {
-			delete(of.cold, id)
+			delete(svc.cold, id)
 			continue
 		}
 		if _, bounded := d.boundedWarmUp(current, s.Server); bounded {
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -16,8 +16,8 @@
 	return nodes
 }
 
-// warming returns what a server bears while it warms up, and whether it warms up and
-// that is bounded at all. The caller holds the mutex.
+// warming returns the warm-up rate of a server, and whether the server is warming up at a
+// bounded rate. The caller holds the mutex.
 func (d *Dispatcher) warming(now time.Time, current *view.View, s *server) (warmup.Server, bool) {
 	if current.Table == nil || !now.Before(s.warmAt(current)) {
 		return warmup.Server{}, false
@@ -25,8 +25,8 @@
 	return d.boundedWarmUp(current, s.Server)
 }
 
-// warmAt is when a server is warm, by its entry and by what it answered to a probe. The
-// caller holds the mutex.
+// warmAt is when a server's warm-up ends, according to its registration and its answers to
+// probes, whichever is later. The caller holds the mutex.
 func (s *server) warmAt(current *view.View) time.Time {
 	if warmAt := current.WarmUntil(s.Server); warmAt.After(s.coldUntil) {
 		return warmAt
@@ -34,7 +34,8 @@
 	return s.coldUntil
 }
 
-// boundedWarmUp returns what a server bears while it warms up, and whether that is bounded.
+// boundedWarmUp returns the rate of requests that a server gets while it is warming up, and
+// whether that rate is bounded.
 func (d *Dispatcher) boundedWarmUp(current *view.View, s *view.Server) (warmup.Server, bool) {
 	service, _ := current.Table.Service(s.Service)
 	if service.WarmUpRate <= 0 {
@@ -47,9 +48,9 @@
 	return warmup.Server{ID: string(s.ID), Zone: s.Zone, Rate: rate}, true
 }
 
-// maySend reports whether this node may send a server a request now: always if it is
-// warm, and by right if it warms up and what it bears is bounded. The caller holds the
-// mutex.
+// maySend reports whether this node may send a request to a server now. It always may if
+// the server is warm or its warm-up rate is unbounded, and otherwise only with a send
+// right. The caller holds the mutex.
 func (d *Dispatcher) maySend(now time.Time, current *view.View, s *server) (may, bounded bool) {
 	server, bounded := d.warming(now, current, s)
 	if !bounded {
@@ -59,21 +60,21 @@
 	return d.rights.May(now, server, warmup.Copy{Age: age, Known: known}), true
 }
 
-// occupy counts a request that is about to be sent to a server. The caller holds the
-// mutex.
-func (d *Dispatcher) occupy(now time.Time, s *server) {
+// reserve reserves a slot at a server for a request that is about to be sent. The caller
+// holds the mutex.
+func (d *Dispatcher) reserve(now time.Time, s *server) {
 	s.outstanding++
-	d.connect(s)
-	if server, warms := d.warming(now, d.views.Current(), s); warms {
+	d.ensurePool(s)
+	if server, warmingUp := d.warming(now, d.views.Current(), s); warmingUp {
 		d.rights.Sent(now, server)
 	}
 }
 
-// ownerWarms reports whether a request's key is owned by a server that warms up and to
-// which this node may not send now, and for how long it still warms up. There is no use
-// in waiting then: the server gets what it bears from the nodes that may. The caller
-// holds the mutex.
-func (d *Dispatcher) ownerWarms(now time.Time, request *Request) (left time.Duration, warms bool) {
+// ownerWarmingUp reports whether a request's key is owned by a warming server that this
+// node may not send to now, and for how long that server is still warming up. Waiting is
+// pointless then, because the nodes with send rights use up its rate. The caller holds the
+// mutex.
+func (d *Dispatcher) ownerWarmingUp(now time.Time, request *Request) (left time.Duration, warmingUp bool) {
 	current := d.views.Current()
 	owners, divided := d.owners(current, request)
 	if !divided {
