--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -165,7 +165,7 @@
 	case !mayHaveRun:
 		return d.refusal(request)
 	case ending.Ended(ctx):
-		return errors.Wrapf(ErrNodeEnds, "%v", cause)
+		return errors.Wrapf(ErrNodeStopping, "%v", cause)
 	case ctx.Err() != nil:
 		return errors.Wrapf(ErrTimeout, "%v", cause)
 	default:
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -131,8 +131,8 @@
 	return cost * (1 + spread*rand.Float64())
 }
 
-// Hold holds back requests for ranges that are about to move to another owner.
-func (d *Dispatcher) Hold(service string, ranges []shards.Range) {
+// HoldRanges holds back requests for ranges that are about to move to another owner.
+func (d *Dispatcher) HoldRanges(service string, ranges []shards.Range) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	until := time.Now().Add(movingHold)
--- a/internal/dispatch/coldprobes.go
+++ b/internal/dispatch/coldprobes.go
@@ -38,13 +38,13 @@
 // rather than all nodes, because answering costs the server time.
 type ColdServerFunc func(server discovery.ServerID, left time.Duration)
 
-// SetColdFound sets the notification of servers that probes find cold. It must be called
+// SetColdServerFunc sets the notification of servers that probes find cold. It must be called
 // before Run.
-func (d *Dispatcher) SetColdFound(found ColdServerFunc) { d.onColdFound = found }
+func (d *Dispatcher) SetColdServerFunc(found ColdServerFunc) { d.onColdFound = found }
 
-// TakeCold records that a server is warming up for the given time, as found by another
+// MarkCold records that a server is warming up for the given time, as found by another
 // node. The store may report it later or never.
-func (d *Dispatcher) TakeCold(id discovery.ServerID, left time.Duration) {
+func (d *Dispatcher) MarkCold(id discovery.ServerID, left time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.markCold(time.Now(), id, left)
--- a/internal/dispatch/coldprobes_test.go
+++ b/internal/dispatch/coldprobes_test.go
@@ -68,7 +68,7 @@
 	w := &testNode{Dispatcher: New(options, builder, zap.NewNop()), builder: builder, revision: 1, age: age}
 	w.SetCopyAge(func() (time.Duration, bool) { return age, true })
 	found := make(chan discovery.ServerID, 8)
-	w.SetColdFound(func(id discovery.ServerID, _ time.Duration) { found <- id })
+	w.SetColdServerFunc(func(id discovery.ServerID, _ time.Duration) { found <- id })
 	builder.Replace([]topo.Item{
 		{Key: "table", Revision: 1}, {Key: "servers/s0", Revision: 1},
 		{Key: view.NodeKey("n0"), Value: []byte(`{"name":"n0","zone":"z"}`), Revision: 1},
@@ -98,7 +98,7 @@
 func TestColdServerThatAnotherNodeFoundGetsNothing(t *testing.T) {
 	w := newTestNode(t, 1, "plain z 0s")
 	w.age = time.Minute
-	w.TakeCold("s0", 3*time.Second)
+	w.MarkCold("s0", 3*time.Second)
 	if got := w.chooseID(time.Now(), "plain"); got != "" {
 		t.Errorf("chose %q, which another node found cold", got)
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -117,7 +117,7 @@
 	ending *ending.Ending
 	// handoffSender hands requests off to the home nodes of their servers; nil if this node
 	// sends all requests itself.
-	handoffSender Handover
+	handoffSender HandoffSender
 	// sizes holds, by route, the moving mean of answer sizes in bytes.
 	sizes map[string]float64
 }
--- a/internal/dispatch/handoff.go
+++ b/internal/dispatch/handoff.go
@@ -34,28 +34,28 @@
 	TableVersion int64
 }
 
-// Handover hands requests off to the home nodes of their servers. A home keeps one queue
+// HandoffSender hands requests off to the home nodes of their servers. A home keeps one queue
 // for the requests of all nodes to a server. Without homes, nodes that each send two
 // requests a second or fewer to a server would neither know its load nor keep connections
 // to it.
-type Handover interface {
+type HandoffSender interface {
 	// Do returns the home's answer. Its error is one of this package's errors, or matches
 	// one of the errors above. limit is when the request must be answered.
 	Do(ctx context.Context, request *Request, limit time.Time, to Destination) (*upstream.Answer, Trace, error)
 }
 
-// TakenOver describes a request that another node handed off to this one, its home. The
+// IncomingHandoff describes a request that another node handed off to this one, its home. The
 // home never hands it off again.
-type TakenOver struct {
+type IncomingHandoff struct {
 	// From is the node that handed the request off.
 	From string
-	// Begin is called once, when a slot at a server is reserved and before any part of the
+	// Confirm is called once, when a slot at a server is reserved and before any part of the
 	// request is sent. If it returns an error, the request is never sent.
-	Begin func(ctx context.Context) error
-	// Again is called before the request, which may have reached a server, is sent to
+	Confirm func(ctx context.Context) error
+	// AnnounceRetry is called before the request, which may have reached a server, is sent to
 	// another one. The sender uses it to count that attempt against the route's maximum in
 	// case the home is lost. It may be nil.
-	Again func()
+	AnnounceRetry func()
 }
 
 const (
@@ -82,9 +82,9 @@
 	homeRetention = 5 * time.Second
 )
 
-// SetHandover enables handing requests off. It must be called before the first request and
+// SetHandoffSender enables handing requests off. It must be called before the first request and
 // the first view.
-func (d *Dispatcher) SetHandover(handoffSender Handover) { d.handoffSender = handoffSender }
+func (d *Dispatcher) SetHandoffSender(handoffSender HandoffSender) { d.handoffSender = handoffSender }
 
 // sendViaHome hands a request off to the home of its server, or sends it from this node if
 // it has none or no home accepts it.
@@ -174,7 +174,7 @@
 // Servers that are warming up get requests only from the nodes with send rights for them,
 // not through homes.
 func (d *Dispatcher) destination(request *Request) (Destination, bool) {
-	if d.handoffSender == nil || request.TakenOver != nil || request.Rest != nil || len(request.Body) > maxHandoffBody {
+	if d.handoffSender == nil || request.IncomingHandoff != nil || request.Rest != nil || len(request.Body) > maxHandoffBody {
 		return Destination{}, false
 	}
 	d.mutex.Lock()
@@ -280,8 +280,8 @@
 
 // notifyRetry tells the node that handed a request off that it is about to be sent again.
 func (r *Request) notifyRetry() {
-	if r.TakenOver != nil && r.TakenOver.Again != nil {
-		r.TakenOver.Again()
+	if r.IncomingHandoff != nil && r.IncomingHandoff.AnnounceRetry != nil {
+		r.IncomingHandoff.AnnounceRetry()
 	}
 }
 
@@ -291,10 +291,10 @@
 	if trace.Attempts > 0 {
 		request.notifyRetry()
 	}
-	if request.TakenOver == nil || trace.Attempts+trace.NotSent > 0 {
+	if request.IncomingHandoff == nil || trace.Attempts+trace.NotSent > 0 {
 		return nil
 	}
-	err := request.TakenOver.Begin(ctx)
+	err := request.IncomingHandoff.Confirm(ctx)
 	if err == nil {
 		return nil
 	}
--- a/internal/dispatch/handoff_test.go
+++ b/internal/dispatch/handoff_test.go
@@ -34,7 +34,7 @@
 func newTestNodeWithHomes(t *testing.T, err error, servers ...string) (*testNode, *fakeHandoff) {
 	w := newTestNode(t, 0)
 	handover := &fakeHandoff{err: err}
-	w.SetHandover(handover)
+	w.SetHandoffSender(handover)
 	for index := range 4 {
 		node := fmt.Sprintf("n%d", index)
 		w.put("micahaven/nodes/"+node, fmt.Sprintf(`{"name":%q,"zone":"z","address":"127.0.0.1:1","share":1}`, node))
@@ -138,7 +138,7 @@
 				sign(writer, incoming)
 			})
 			request := hedgeableRequest(d)
-			request.TakenOver = &TakenOver{Begin: func(context.Context) error { return nil }, Again: func() { told.Add(1) }}
+			request.IncomingHandoff = &IncomingHandoff{Confirm: func(context.Context) error { return nil }, AnnounceRetry: func() { told.Add(1) }}
 			if _, trace, err := d.Do(t.Context(), request); err != nil || trace.Attempts != 2 {
 				t.Errorf("error %v after %d attempts, wanted an answer after two", err, trace.Attempts)
 			}
@@ -164,7 +164,7 @@
 	w.setOwner(t, "s0")
 	request := requestFor("divided", false)
 	begun := 0
-	request.TakenOver = &TakenOver{From: "n1", Begin: func(context.Context) error { begun++; return nil }}
+	request.IncomingHandoff = &IncomingHandoff{From: "n1", Confirm: func(context.Context) error { begun++; return nil }}
 	_, trace, _ := w.Do(t.Context(), request)
 	if handover.count != 0 || begun != 1 || trace.Server != "s0" {
 		t.Errorf("handed off %d times, confirmed %d times, sent to %q", handover.count, begun, trace.Server)
@@ -179,7 +179,7 @@
 	defer server.Close()
 	d := dispatcherOf(map[string]string{"a": server.Listener.Addr().String()})
 	request := unsafeRequest()
-	request.TakenOver = &TakenOver{From: "n1", Begin: func(context.Context) error { return errors.New("no go") }}
+	request.IncomingHandoff = &IncomingHandoff{From: "n1", Confirm: func(context.Context) error { return errors.New("no go") }}
 	if _, _, err := d.Do(t.Context(), request); !errors.Is(err, ErrNotExecuted) {
 		t.Errorf("error %v, wanted ErrNotExecuted", err)
 	}
@@ -216,7 +216,7 @@
 	if !w.Takes(request, Destination{Server: "s0", MapRevision: older}) {
 		t.Fatal("refused a handoff with a newer owner map")
 	}
-	request.TakenOver = &TakenOver{From: "n1", Begin: func(context.Context) error { return nil }}
+	request.IncomingHandoff = &IncomingHandoff{From: "n1", Confirm: func(context.Context) error { return nil }}
 	if _, trace, _ := w.Do(t.Context(), request); trace.Server != "s1" {
 		t.Errorf("sent to %q, wanted the present owner s1", trace.Server)
 	}
@@ -226,7 +226,7 @@
 func TestStoppingHomeTakesNothing(t *testing.T) {
 	w, _ := newTestNodeWithHomes(t, ErrNoHome, warmDivided)
 	w.setOwner(t, "s0")
-	w.EndBy(time.Now().Add(time.Minute))
+	w.ShutDownBy(time.Now().Add(time.Minute))
 	if w.Takes(requestFor("divided", false), Destination{Server: "s0"}) {
 		t.Error("accepted a handoff while shutting down")
 	}
@@ -237,7 +237,7 @@
 	for _, nodes := range []int{1, 8, 30} {
 		const maxConnections = 110
 		d := newDispatcher(maxConnections, nodes)
-		d.SetHandover(&fakeHandoff{})
+		d.SetHandoffSender(&fakeHandoff{})
 		share, homeShare := d.connectionShares(d.views.Current(), "s")
 		if together := share*nodes + homeShare; together > maxConnections {
 			t.Errorf("%d nodes and the home use up to %d connections, allowed: %d", nodes, together, maxConnections)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -22,9 +22,9 @@
 	// ErrTimeout means that the time allowed for the request is over. It may have been
 	// executed.
 	ErrTimeout = errors.New("request timed out")
-	// ErrNodeEnds means that the node shut down before a server answered. The request may
+	// ErrNodeStopping means that the node shut down before a server answered. The request may
 	// have been executed.
-	ErrNodeEnds = errors.New("the node stops")
+	ErrNodeStopping = errors.New("the node stops")
 	// ErrCanceled means that the client disconnected.
 	ErrCanceled = errors.New("client left")
 )
@@ -69,8 +69,8 @@
 	// off, when that node needs the answer. CallerDeadline is when the client stops waiting
 	// if the request was handed off, and zero otherwise.
 	Deadline, CallerDeadline time.Time
-	// TakenOver is set if another node handed the request off to this one.
-	TakenOver *TakenOver
+	// IncomingHandoff is set if another node handed the request off to this one.
+	IncomingHandoff *IncomingHandoff
 }
 
 // callerDeadline is when the client stops waiting.
--- a/internal/dispatch/serverlimit.go
+++ b/internal/dispatch/serverlimit.go
@@ -73,7 +73,7 @@
 	s.outstanding--
 	if ctx.Err() == nil {
 		s.limitedUntil = time.Now().Add(max(leastLimitPause, decision.RetryAfter))
-		d.logger.Info("server's limit used up", zap.String("request", request.ID), zap.String("server", string(s.id)),
+		d.logger.Info("server rate limit exhausted", zap.String("request", request.ID), zap.String("server", string(s.id)),
 			zap.Duration("room_in", decision.RetryAfter), zap.String("detail", decision.Detail))
 	}
 	d.serveWaiters(s.Service)
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -12,15 +12,15 @@
 // second because its CPU quota is used up.
 const answerMargin = 120 * time.Millisecond
 
-// EndBy makes Do return for every request by the given time because the node shuts down;
+// ShutDownBy makes Do return for every request by the given time because the node shuts down;
 // answers that are already being streamed may take longer. From now on, requests that no
 // server is expected to answer by then are refused at once, and servers are told the
 // shortened remaining time.
-func (d *Dispatcher) EndBy(at time.Time) {
+func (d *Dispatcher) ShutDownBy(at time.Time) {
 	d.ending.Set(at)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.logger.Info("requests have to end", zap.Duration("within", time.Until(at)), zap.Int("waiting", d.countWaiting()))
+	d.logger.Info("shutdown deadline set for requests", zap.Duration("within", time.Until(at)), zap.Int("waiting", d.countWaiting()))
 }
 
 // countWaiting returns the number of requests that wait for a server. The caller holds the
--- a/internal/dispatch/shutdown_answer_test.go
+++ b/internal/dispatch/shutdown_answer_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("answer %v, error %v, want the beginning of a long answer", answer, err)
 	}
 	defer answer.Rest.Close()
-	d.EndBy(time.Now().Add(end))
+	d.ShutDownBy(time.Now().Add(end))
 	remainder, err := io.ReadAll(answer.Rest)
 	if got := len(answer.Body) + len(remainder); err != nil || got != length {
 		t.Errorf("got %d of %d bytes, error %v", got, length, err)
--- a/internal/dispatch/shutdown_choice_test.go
+++ b/internal/dispatch/shutdown_choice_test.go
@@ -30,7 +30,7 @@
 		d.reindex(time.Now(), d.views.Current(), s)
 		d.selectPreferred(s.svc)
 	}
-	d.EndBy(time.Now().Add(2 * time.Second))
+	d.ShutDownBy(time.Now().Add(2 * time.Second))
 	request := longRequest()
 	request.ID = ""
 	_, _, err := d.Do(context.Background(), request)
--- a/internal/dispatch/shutdown_queue_test.go
+++ b/internal/dispatch/shutdown_queue_test.go
@@ -29,7 +29,7 @@
 	d.server("a").outstanding = 100
 	const left = 10 * time.Second
 	time.AfterFunc(50*time.Millisecond, func() {
-		d.EndBy(time.Now().Add(left))
+		d.ShutDownBy(time.Now().Add(left))
 		freeSlots(d, "a")
 	})
 	request := longRequest()
@@ -48,7 +48,7 @@
 	d.server("a").outstanding, d.server("a").latency = 100, 40
 	request := longRequest()
 	time.AfterFunc(50*time.Millisecond, func() {
-		d.EndBy(time.Now().Add(time.Second))
+		d.ShutDownBy(time.Now().Add(time.Second))
 		freeSlots(d, "a")
 	})
 	_, _, err := d.Do(context.Background(), request)
@@ -94,7 +94,7 @@
 	brief := longRequest()
 	brief.Deadline = time.Now().Add(5 * time.Second)
 	queue(brief, 2)
-	d.EndBy(time.Now().Add(30 * time.Second))
+	d.ShutDownBy(time.Now().Add(30 * time.Second))
 	d.mutex.Lock()
 	a.latency = 40
 	d.mutex.Unlock()
--- a/internal/dispatch/shutdown_test.go
+++ b/internal/dispatch/shutdown_test.go
@@ -42,10 +42,10 @@
 func TestRequestAtAServerEndsWithTheNode(t *testing.T) {
 	d, arrived := newSingleServerDispatcher(t, blockUntilCanceled)
 	end := time.Now().Add(300 * time.Millisecond)
-	time.AfterFunc(50*time.Millisecond, func() { d.EndBy(end) })
+	time.AfterFunc(50*time.Millisecond, func() { d.ShutDownBy(end) })
 	_, _, err := d.Do(context.Background(), longRequest())
-	if !errors.Is(err, ErrNodeEnds) || errors.Is(err, ErrNotExecuted) {
-		t.Errorf("error %v, want ErrNodeEnds", err)
+	if !errors.Is(err, ErrNodeStopping) || errors.Is(err, ErrNotExecuted) {
+		t.Errorf("error %v, want ErrNodeStopping", err)
 	}
 	if arrived.Load() != 1 {
 		t.Errorf("%d requests reached the server, want 1", arrived.Load())
@@ -56,7 +56,7 @@
 func TestWaitingRequestEndsWithTheNode(t *testing.T) {
 	d, arrived := newSingleServerDispatcher(t, blockUntilCanceled)
 	d.server("a").outstanding = 100
-	time.AfterFunc(50*time.Millisecond, func() { d.EndBy(time.Now().Add(200 * time.Millisecond)) })
+	time.AfterFunc(50*time.Millisecond, func() { d.ShutDownBy(time.Now().Add(200 * time.Millisecond)) })
 	_, _, err := d.Do(context.Background(), longRequest())
 	var refusal *Refusal
 	if !errors.As(err, &refusal) || arrived.Load() != 0 {
@@ -79,7 +79,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			d, arrived := newSingleServerDispatcher(t, blockUntilCanceled)
 			d.server("a").latency = c.latency
-			d.EndBy(time.Now().Add(c.left))
+			d.ShutDownBy(time.Now().Add(c.left))
 			startedAt := time.Now()
 			_, _, err := d.Do(context.Background(), longRequest())
 			var refusal *Refusal
@@ -113,7 +113,7 @@
 	serve, told := deadlineRecorder()
 	d, _ := newSingleServerDispatcher(t, serve)
 	const left = 10 * time.Second
-	d.EndBy(time.Now().Add(left))
+	d.ShutDownBy(time.Now().Add(left))
 	request := longRequest()
 	request.ID = ""
 	if _, _, err := d.Do(context.Background(), request); err != nil {
--- a/internal/dispatch/signals.go
+++ b/internal/dispatch/signals.go
@@ -25,9 +25,9 @@
 // learn of it only when they send the server a request themselves.
 type SignalFunc func(server discovery.ServerID, signal Signal)
 
-// SetSignalled sets the notification of servers' signals. It must be called before the
+// SetSignalFunc sets the notification of servers' signals. It must be called before the
 // first request.
-func (d *Dispatcher) SetSignalled(onSignal SignalFunc) { d.onSignal = onSignal }
+func (d *Dispatcher) SetSignalFunc(onSignal SignalFunc) { d.onSignal = onSignal }
 
 // observeSignals applies the signals in an answer to a request that this node sent.
 func (d *Dispatcher) observeSignals(s *server, answer *upstream.Answer) {
@@ -104,14 +104,14 @@
 	id := zap.String("server", string(s.id))
 	switch {
 	case now.Limited && (!previous.Limited || previous.Rate != now.Rate):
-		d.logger.Info("server names a limit", id, zap.Float64("rate", now.Rate))
+		d.logger.Info("server announced a rate limit", id, zap.Float64("rate", now.Rate))
 	case previous.Limited && !now.Limited:
-		d.logger.Info("server names no limit any more", id, zap.Float64("before", previous.Rate))
+		d.logger.Info("server withdrew its rate limit", id, zap.Float64("before", previous.Rate))
 	}
 	if now.Leaving && !previous.Leaving {
-		d.logger.Info("server says that it leaves", id)
+		d.logger.Info("server announced that it is leaving", id)
 	}
 	if now.Rest > 0 && previous.Rest == 0 {
-		d.logger.Info("server asks for rest", id, zap.Duration("for", now.Rest))
+		d.logger.Info("server requested back-off", id, zap.Duration("for", now.Rest))
 	}
 }
--- a/internal/dispatch/signals_test.go
+++ b/internal/dispatch/signals_test.go
@@ -12,8 +12,8 @@
 	"github.com/micahaven/micahaven/internal/upstream"
 )
 
-// newSignalHeaders parses the signals of servers that are leaving or ask for a back-off of one
-// minute.
+// newSignalHeaders returns headers that parse the signals of servers that are leaving or ask
+// for a back-off of one minute.
 func newSignalHeaders() Headers {
 	return Headers{Signature: "Signed", Signals: func(_ int, answer http.Header) backpressure.Signals {
 		signals := backpressure.Signals{Leaving: answer.Get("Leaving") != ""}
@@ -32,7 +32,7 @@
 	w.headers = newSignalHeaders()
 	w.setOwner(t, "s0")
 	var told []discovery.ServerID
-	w.SetSignalled(func(server discovery.ServerID, _ Signal) { told = append(told, server) })
+	w.SetSignalFunc(func(server discovery.ServerID, _ Signal) { told = append(told, server) })
 	handover.trace.Server = "s0"
 	handover.answer = &upstream.Answer{Status: http.StatusOK, Header: http.Header{"Signed": {"by s0"}, "Leaving": {"1"}}}
 	for range 2 {
--- a/internal/dispatch/warming_test.go
+++ b/internal/dispatch/warming_test.go
@@ -90,10 +90,12 @@
 	w.put(view.OwnersKey("divided", 0), string(text))
 }
 
-// rightsActiveAt is a time from which a node that was registered at the start may send to warming
-// servers.
+// rightsActiveAt is a time from which a node that was registered at the start may send to
+// warming servers.
 func rightsActiveAt() time.Time { return time.Now().Add(2100 * time.Millisecond) }
 
+// chooseID returns the id of the server that is chosen for a request at the given time, or
+// an empty string. The reserved slot is released again.
 func (w *testNode) chooseID(now time.Time, service string) string {
 	request := &Request{
 		Service: service, HasKey: service == "divided", ArrivedAt: now, Deadline: now.Add(2 * time.Second),
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -130,7 +130,7 @@
 	switch {
 	case errors.Is(err, dispatch.ErrTimeout):
 		kind = wire.HandoffFailure_KIND_TIMEOUT
-	case errors.Is(err, dispatch.ErrNodeEnds):
+	case errors.Is(err, dispatch.ErrNodeStopping):
 		kind = wire.HandoffFailure_KIND_NODE_ENDS
 	}
 	return &wire.Envelope{Body: &wire.Envelope_HandoffFailure{HandoffFailure: &wire.HandoffFailure{
@@ -143,7 +143,7 @@
 	case wire.HandoffFailure_KIND_TIMEOUT:
 		return errors.Wrap(dispatch.ErrTimeout, string(failure.GetDetail()))
 	case wire.HandoffFailure_KIND_NODE_ENDS:
-		return errors.Wrap(dispatch.ErrNodeEnds, string(failure.GetDetail()))
+		return errors.Wrap(dispatch.ErrNodeStopping, string(failure.GetDetail()))
 	default:
 		return errors.Wrap(dispatch.ErrUnknown, string(failure.GetDetail()))
 	}
--- a/internal/handoff/home.go
+++ b/internal/handoff/home.go
@@ -104,7 +104,7 @@
 		stream.SendLast(step(wire.HandoffStep_STEP_NOT_TAKEN, "not this node's, as far as it knows"))
 		return
 	}
-	request.TakenOver = &dispatch.TakenOver{From: from.GetNode(), Begin: t.begin, Again: t.again}
+	request.IncomingHandoff = &dispatch.IncomingHandoff{From: from.GetNode(), Confirm: t.begin, AnnounceRetry: t.again}
 	go t.listen(ctx)
 	h.dispatcher.TakeHome(discovery.ServerID(handoff.GetServer()))
 	answer, trace, err := h.dispatcher.Do(ctx, request)
@@ -144,7 +144,7 @@
 
 func (h *Home) log(request *dispatch.Request, trace dispatch.Trace, answer *upstream.Answer, err error) {
 	fields := []zap.Field{
-		zap.String("request", request.ID), zap.String("from", request.TakenOver.From), zap.String("service", request.Service),
+		zap.String("request", request.ID), zap.String("from", request.IncomingHandoff.From), zap.String("service", request.Service),
 		zap.String("server", trace.Server), zap.Int("attempts", trace.Attempts), zap.Duration("queued", trace.Queued),
 		zap.Duration("at_servers", trace.AtServers),
 	}
@@ -191,8 +191,8 @@
 	}
 }
 
-// begin implements dispatch.TakenOver.Begin: it asks the sender for the go if the request
-// needs one. Without it the request is never sent, also if the go comes later.
+// begin implements dispatch.IncomingHandoff.Confirm: it asks the sender for the go if the
+// request needs one. Without it the request is never sent, also if the go comes later.
 func (t *taken) begin(ctx context.Context) error {
 	if !t.state.CompareAndSwap(queued, begun) {
 		return errGivenBack
@@ -216,8 +216,8 @@
 	return errNoGo
 }
 
-// again implements dispatch.TakenOver.Again. A sender that is not told counts one attempt
-// less if this home is lost.
+// again implements dispatch.IncomingHandoff.AnnounceRetry. A sender that is not told counts
+// one attempt less if this home is lost.
 func (t *taken) again() { t.stream.Send(step(wire.HandoffStep_STEP_READY, "")) }
 
 // listen takes the sender's steps and tells it that the home is alive. It ends the
--- a/internal/handoff/home_test.go
+++ b/internal/handoff/home_test.go
@@ -39,7 +39,7 @@
 		f.ended <- ctx.Err()
 		return nil, dispatch.Trace{}, dispatch.ErrCanceled
 	}
-	if err := request.TakenOver.Begin(ctx); err != nil {
+	if err := request.IncomingHandoff.Confirm(ctx); err != nil {
 		return nil, dispatch.Trace{}, &dispatch.Refusal{Detail: err.Error()}
 	}
 	f.sent.Add(1)
@@ -186,7 +186,7 @@
 
 func (l *lateDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error) {
 	<-ctx.Done()
-	err := request.TakenOver.Begin(ctx)
+	err := request.IncomingHandoff.Confirm(ctx)
 	l.began <- err
 	return nil, dispatch.Trace{}, dispatch.ErrCanceled
 }
--- a/internal/handoff/sender.go
+++ b/internal/handoff/sender.go
@@ -18,7 +18,7 @@
 )
 
 // Sender hands requests over to the homes of their servers. It implements
-// dispatch.Handover and is safe for concurrent use.
+// dispatch.HandoffSender and is safe for concurrent use.
 type Sender struct {
 	self   string
 	client *transport.Client
@@ -73,7 +73,7 @@
 	return present
 }
 
-// Do implements dispatch.Handover.
+// Do implements dispatch.HandoffSender.
 func (s *Sender) Do(ctx context.Context, request *dispatch.Request, limit time.Time, to dispatch.Destination) (*upstream.Answer, dispatch.Trace, error) {
 	var full *dispatch.Refusal
 	notTaken := dispatch.ErrNoHome
--- a/internal/handoff/sender_test.go
+++ b/internal/handoff/sender_test.go
@@ -277,7 +277,7 @@
 
 // What is known of a request that may have run is passed on as well.
 func TestFailuresArePassedOn(t *testing.T) {
-	for _, failure := range []error{dispatch.ErrUnknown, dispatch.ErrTimeout, dispatch.ErrNodeEnds} {
+	for _, failure := range []error{dispatch.ErrUnknown, dispatch.ErrTimeout, dispatch.ErrNodeStopping} {
 		home := scripted(t, "home", func(_ *transport.Server, stream *transport.Stream) {
 			stream.Send(encodeFailure(errors.Wrap(failure, "cause"), dispatch.Trace{}))
 		})
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -26,7 +26,7 @@
 		writeRefusal(writer, http.StatusServiceUnavailable, refusal.Detail, refusal.RetryAfter)
 	case errors.Is(err, dispatch.ErrTimeout):
 		http.Error(writer, "timed out; the request may have run", http.StatusGatewayTimeout)
-	case errors.Is(err, dispatch.ErrNodeEnds):
+	case errors.Is(err, dispatch.ErrNodeStopping):
 		http.Error(writer, "the node stops; the request may have run", http.StatusGatewayTimeout)
 	case errors.Is(err, dispatch.ErrCanceled), errors.Is(err, errForcedClose):
 		panic(http.ErrAbortHandler)
@@ -96,7 +96,7 @@
 		return "not executed"
 	case errors.Is(err, dispatch.ErrTimeout):
 		return "timed out"
-	case errors.Is(err, dispatch.ErrNodeEnds):
+	case errors.Is(err, dispatch.ErrNodeStopping):
 		return "node stopped"
 	case errors.Is(err, dispatch.ErrCanceled):
 		return "client left"
--- a/internal/router/coldservers.go
+++ b/internal/router/coldservers.go
@@ -23,7 +23,7 @@
 // takeColdServer takes in that another node found a server to be warming up.
 func (p *peers) takeColdServer(cold *wire.ColdServer) {
 	server, left := discovery.ServerID(cold.GetServer()), time.Duration(cold.GetLeftMillis())*time.Millisecond
-	p.dispatcher.TakeCold(server, left)
+	p.dispatcher.MarkCold(server, left)
 	if cold.GetForward() {
 		p.toFollowers(coldEnvelope(server, left, false))
 	}
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -93,7 +93,7 @@
 	grace := n.settings.grace()
 	takeUntil := startedAt.Add(min(notReadyMost, time.Duration(notReadyPart*float64(grace))))
 	closeAt := startedAt.Add(time.Duration(closePart * float64(grace)))
-	n.dispatcher.EndBy(startedAt.Add(time.Duration(answerPart * float64(grace))))
+	n.dispatcher.ShutDownBy(startedAt.Add(time.Duration(answerPart * float64(grace))))
 	periodic.Pause(ctx, time.Until(takeUntil))
 	bounded, cancel := context.WithDeadline(ctx, closeAt)
 	defer cancel()
@@ -142,7 +142,7 @@
 func (n *Node) endClients() {
 	if !n.stopping.Load() {
 		n.handler.Drain()
-		n.dispatcher.EndBy(time.Now())
+		n.dispatcher.ShutDownBy(time.Now())
 		ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
 		defer cancel()
 		if err := n.clients.Shutdown(ctx); err != nil {
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -132,14 +132,14 @@
 	n.peers.quotas = quota.NewLimiter("tenants", self.Name, quotaCaller{client: client}, quota.NewKeeper(), settings.tolerance(), logger)
 	n.peers.serverLimits = quota.NewLimiter("servers", self.Name, quotaCaller{client: client, servers: true}, quota.NewKeeper(), serverTolerance(), logger)
 	n.dispatcher.SetServerLimits(n.peers.serverLimits)
-	n.dispatcher.SetSignalled(n.peers.serverSignalled)
+	n.dispatcher.SetSignalFunc(n.peers.serverSignalled)
 	n.peers.guard = poison.NewGuard(self.Name, n.peers.tellCrashes, logger)
 	n.views.Subscribe(n.peers.followNodes)
 	n.dispatcher.SetGuard(n.peers.guard)
 	n.views.Subscribe(n.peers.followQuotas)
 	n.handler.SetTenancy(ingress.Tenancy{Quotas: n.peers.quotas, Freshness: n.copyFreshness, Staleness: settings.staleness()})
 	n.peers.copies = &copyGiver{mirror: n.mirror, feed: changes, linkBytes: settings.linkBytes()}
-	n.dispatcher.SetColdFound(n.peers.coldFound)
+	n.dispatcher.SetColdServerFunc(n.peers.coldFound)
 	n.record = &headsRecord{store: platform.Store, feed: changes, mirror: n.mirror, nodes: n.peers.nodes, logger: logger}
 	n.mirror.SetCopySource(copyTaker{peers: n.peers, record: n.record, firstStart: settings.FirstStart, readsPerSecond: settings.Store.ReadsPerSecond})
 	n.peers.setSeeds(settings.Seeds)
@@ -167,7 +167,7 @@
 	}
 	sender := handoff.NewSender(n.settings.Node, client, n.logger)
 	n.views.Subscribe(sender.Follow)
-	n.dispatcher.SetHandover(sender)
+	n.dispatcher.SetHandoffSender(sender)
 	n.peers.home = handoff.NewHome(n.views, n.dispatcher, n.logger)
 }
 
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -95,7 +95,7 @@
 
 // Moving implements shardmanager.Notices.
 func (p *peers) Moving(service string, epoch uint64, ranges []shards.Range) {
-	p.dispatcher.Hold(service, ranges)
+	p.dispatcher.HoldRanges(service, ranges)
 	notice := &wire.MoveNotice{Service: service, Epoch: epoch}
 	for _, r := range ranges {
 		notice.Ranges = append(notice.Ranges, &wire.ShardRange{Last: r.Last, Fence: r.Fence})
@@ -206,7 +206,7 @@
 	for _, r := range notice.GetRanges() {
 		ranges = append(ranges, shards.Range{Last: r.GetLast(), Fence: r.GetFence()})
 	}
-	p.dispatcher.Hold(notice.GetService(), ranges)
+	p.dispatcher.HoldRanges(notice.GetService(), ranges)
 	if notice.GetForward() {
 		p.toFollowers(moveEnvelope(notice, false))
 	}
--- a/internal/router/scale_test.go
+++ b/internal/router/scale_test.go
@@ -74,7 +74,7 @@
 	f.views.Subscribe(changes.follow)
 	sender := handoff.NewSender(self.Name, transport.NewClient(&wire.Hello{}, nil), zap.NewNop())
 	f.views.Subscribe(sender.Follow)
-	dispatcher.SetHandover(sender)
+	dispatcher.SetHandoffSender(sender)
 	f.items = fleetItems(tb, size)
 	f.revision = int64(len(f.items)) + 1
 	f.views.Replace(f.items, f.revision)
