--- a/internal/handoff/sender.go
+++ b/internal/handoff/sender.go
@@ -18,7 +18,7 @@
 )
 
 // Sender hands requests over to the homes of their servers. It implements
-// dispatch.Handover and is safe for concurrent use.
+// dispatch.HandoffSender and is safe for concurrent use.
 type Sender struct {
 	self   string
 	client *transport.Client
@@ -39,7 +39,7 @@
 
 // Follow takes in the nodes of a new view.
 func (s *Sender) Follow(current *view.View) {
-	if current.Same.Nodes {
+	if current.Unchanged.Nodes {
 		return
 	}
 	nodes := make([]homes.Node, 0, current.Nodes.Len())
@@ -73,7 +73,7 @@
 	return present
 }
 
-// Do implements dispatch.Handover.
+// Do implements dispatch.HandoffSender.
 func (s *Sender) Do(ctx context.Context, request *dispatch.Request, limit time.Time, to dispatch.Destination) (*upstream.Answer, dispatch.Trace, error) {
 	var full *dispatch.Refusal
 	notTaken := dispatch.ErrNoHome
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -93,14 +93,14 @@
 	grace := n.settings.grace()
 	takeUntil := startedAt.Add(min(notReadyMost, time.Duration(notReadyPart*float64(grace))))
 	closeAt := startedAt.Add(time.Duration(closePart * float64(grace)))
-	n.dispatcher.EndBy(startedAt.Add(time.Duration(answerPart * float64(grace))))
+	n.dispatcher.ShutDownBy(startedAt.Add(time.Duration(answerPart * float64(grace))))
 	periodic.Pause(ctx, time.Until(takeUntil))
 	bounded, cancel := context.WithDeadline(ctx, closeAt)
 	defer cancel()
 	n.closeIdleClients(bounded)
 	// What is left is being served; Shutdown waits for its end.
 	if err := n.clients.Shutdown(bounded); err != nil && !errors.Is(err, net.ErrClosed) {
-		n.handler.End()
+		n.handler.MarkForcedClose()
 		n.logger.Warn("requests cut off at the end", zap.Int("active", n.handler.Active()), zap.Error(err))
 	}
 	n.waitForHome(bounded)
@@ -142,11 +142,11 @@
 func (n *Node) endClients() {
 	if !n.stopping.Load() {
 		n.handler.Drain()
-		n.dispatcher.EndBy(time.Now())
+		n.dispatcher.ShutDownBy(time.Now())
 		ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
 		defer cancel()
 		if err := n.clients.Shutdown(ctx); err != nil {
-			n.handler.End()
+			n.handler.MarkForcedClose()
 			n.logger.Warn("requests cut off at the end", zap.Int("active", n.handler.Active()), zap.Error(err))
 		}
 	}
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -68,8 +68,8 @@
 	mirror       *mirror.Mirror
 	dispatcher   *dispatch.Dispatcher
 	handler      *ingress.Handler
-	connections  *ingress.ConnectionLimits
-	held         *pipeline.Held
+	connections  *ingress.ConnectionTracker
+	held         *pipeline.MemoryBudget
 	managers     *managers
 	peers        *peers
 	registration *registration
@@ -113,17 +113,17 @@
 	n.handler = ingress.NewHandler(platform.Headers, n.views, n.dispatcher, logger)
 	if settings.LinkMegabits != nil {
 		// A link that nobody told of may be far faster than the slowest one.
-		n.handler.PaceAnswers(settings.linkBytes())
+		n.handler.PaceResponses(settings.linkBytes())
 	}
-	n.connections = ingress.NewConnectionLimits(n.connectionLimits)
-	n.held = pipeline.NewHeld(int64(heldPart * float64(settings.MemoryMegabytes) * (1 << 20)))
+	n.connections = ingress.NewConnectionTracker(n.connectionLimits)
+	n.held = pipeline.NewMemoryBudget(int64(heldPart * float64(settings.MemoryMegabytes) * (1 << 20)))
 	hello := &wire.Hello{Node: self.Name, Zone: self.Zone, Address: self.Address, ProtocolVersion: wire.ProtocolVersion}
 	client := transport.NewClient(hello, nil)
 	changes := newChangeFeed(self, client, logger)
 	n.views.SetLapse(changes.lapsedUntil)
 	n.dispatcher.SetCopyAge(changes.confirmedAge)
 	n.views.Subscribe(changes.follow)
-	n.mirror.Observe(changes)
+	n.mirror.SetObserver(changes)
 	n.peers = &peers{
 		self: self, client: client, feed: changes,
 		views: n.views, mirror: n.mirror, dispatcher: n.dispatcher, orders: platform.Orders, logger: logger,
@@ -132,16 +132,16 @@
 	n.peers.quotas = quota.NewLimiter("tenants", self.Name, quotaCaller{client: client}, quota.NewKeeper(), settings.tolerance(), logger)
 	n.peers.serverLimits = quota.NewLimiter("servers", self.Name, quotaCaller{client: client, servers: true}, quota.NewKeeper(), serverTolerance(), logger)
 	n.dispatcher.SetServerLimits(n.peers.serverLimits)
-	n.dispatcher.SetSignalled(n.peers.serverSignalled)
+	n.dispatcher.SetSignalFunc(n.peers.serverSignalled)
 	n.peers.guard = poison.NewGuard(self.Name, n.peers.tellCrashes, logger)
 	n.views.Subscribe(n.peers.followNodes)
 	n.dispatcher.SetGuard(n.peers.guard)
 	n.views.Subscribe(n.peers.followQuotas)
 	n.handler.SetTenancy(ingress.Tenancy{Quotas: n.peers.quotas, Freshness: n.copyFreshness, Staleness: settings.staleness()})
 	n.peers.copies = &copyGiver{mirror: n.mirror, feed: changes, linkBytes: settings.linkBytes()}
-	n.dispatcher.SetColdFound(n.peers.coldFound)
+	n.dispatcher.SetColdServerFunc(n.peers.coldFound)
 	n.record = &headsRecord{store: platform.Store, feed: changes, mirror: n.mirror, nodes: n.peers.nodes, logger: logger}
-	n.mirror.TakeFrom(copyTaker{peers: n.peers, record: n.record, firstStart: settings.FirstStart, readsPerSecond: settings.Store.ReadsPerSecond})
+	n.mirror.SetCopySource(copyTaker{peers: n.peers, record: n.record, firstStart: settings.FirstStart, readsPerSecond: settings.Store.ReadsPerSecond})
 	n.peers.setSeeds(settings.Seeds)
 	options := shards.DefaultOptions()
 	options.Hold = min(options.Hold, time.Duration(settings.MaxHoldMillis)*time.Millisecond)
@@ -167,7 +167,7 @@
 	}
 	sender := handoff.NewSender(n.settings.Node, client, n.logger)
 	n.views.Subscribe(sender.Follow)
-	n.dispatcher.SetHandover(sender)
+	n.dispatcher.SetHandoffSender(sender)
 	n.peers.home = handoff.NewHome(n.views, n.dispatcher, n.logger)
 }
 
@@ -206,8 +206,8 @@
 	}
 	n.inner = transport.NewServer(hello, inner, nil, n.peers, n.logger)
 	n.clients = &pipeline.Server{
-		Handler: n.handler, SideBySide: n.handler.SideBySide,
-		Connections: n.connections, HeaderBytes: headerBytes, Held: n.held, Logger: n.logger,
+		Handler: n.handler, MayRunConcurrently: n.handler.MayRunConcurrently,
+		Connections: n.connections, HeaderBytes: headerBytes, MemoryBudget: n.held, Logger: n.logger,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+readyPath, n.answerReady)
