--- a/internal/backpressure/backpressure.go
+++ b/internal/backpressure/backpressure.go
@@ -1,18 +1,18 @@
-// Package backpressure describes what servers ask of the nodes that send to them, which they
-// say in their answers.
+// Package backpressure defines the signals by which servers control how much the nodes send to
+// them. Servers include the signals in their responses.
 package backpressure
 
 import "time"
 
-// Signals are what one answer of a server says.
+// Signals are the backpressure signals of one response.
 type Signals struct {
-	// Limited is true if the server names how many requests a second it takes from all nodes
-	// together, which is Rate then. It holds for as long as its answers say so.
+	// Limited is true if the server limits the requests that it accepts from all nodes together
+	// to Rate per second. The limit holds for as long as its responses announce it.
 	Limited bool
 	Rate    float64
-	// Leaving is true if the server is about to end.
+	// Leaving is true if the server is about to shut down.
 	Leaving bool
-	// Rest is for how long the server wants nothing from the node that it turned away; 0 if
-	// it does not say.
+	// Rest is how long the node must not send requests to the server, which has refused one; 0
+	// if the server gives no time.
 	Rest time.Duration
 }
--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -5,17 +5,17 @@
 	"encoding/binary"
 )
 
-// maxDigested is how much of a body counts, in bytes.
-const maxDigested = 64 << 10
+// maxDigestedBytes is how many bytes at the start of a body enter the digest.
+const maxDigestedBytes = 64 << 10
 
-// Request is what makes two tries the same request.
+// Request is what identifies a request: two attempts with the same fields are the same request.
 type Request struct {
 	Service, Method, Host, URI, Caller string
 	Body                               []byte
 }
 
-// DigestOf returns the digest of a request. Of a long body its beginning and its length
-// count.
+// DigestOf returns the digest of a request. It covers the length of the body, but of a long
+// body only the first maxDigestedBytes.
 func DigestOf(request Request) Digest {
 	sum := sha256.New()
 	var length [8]byte
@@ -23,7 +23,7 @@
 		binary.BigEndian.PutUint64(length[:], uint64(len(text)))
 		// Writing to a hash never fails.
 		_, _ = sum.Write(length[:])
-		_, _ = sum.Write(text[:min(len(text), maxDigested)])
+		_, _ = sum.Write(text[:min(len(text), maxDigestedBytes)])
 	}
 	for _, field := range []string{request.Service, request.Method, request.Host, request.URI, request.Caller} {
 		add([]byte(field))
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -13,71 +13,77 @@
 )
 
 const (
-	// gatherFor is how long the requests are gathered that were lost with one life of a
-	// server: their connections end within moments of each other.
-	gatherFor = 100 * time.Millisecond
-	// aloneWait is how long a suspect waits for another one that runs: most are answered by
-	// then. aloneRetry is when it should come back otherwise.
-	aloneWait  = 300 * time.Millisecond
-	aloneRetry = 500 * time.Millisecond
-	// tellers is how many nodes tell again what is certain: the first one may be the one that
-	// has not heard it.
-	tellers = 2
-	// TellAgainEvery is the pause between two words of what is certain.
+	// crashGroupingTime is how long the requests lost with one server are collected before the
+	// crash is attributed. Their connections end within a short time of each other.
+	crashGroupingTime = 100 * time.Millisecond
+	// exclusiveWait is how long a suspect waits for another one that is running; most requests
+	// are answered by then. exclusiveRetryAfter is the delay after which the client should
+	// retry otherwise.
+	exclusiveWait       = 300 * time.Millisecond
+	exclusiveRetryAfter = 500 * time.Millisecond
+	// broadcasterCount is the number of nodes that repeat a confirmed suspect to the others. It
+	// is more than one because the first node may be the one that has missed it.
+	broadcasterCount = 2
+	// TellAgainEvery is the interval between repeated broadcasts of confirmed suspects.
 	TellAgainEvery = 2 * time.Second
 )
 
-// Tell tells the other nodes of requests.
-type Tell func(suspects []Suspect)
+// Broadcast sends suspects to the other nodes.
+type Broadcast func(suspects []Suspect)
 
-// Guard keeps requests that crash servers from them. It is safe for concurrent use.
+// Guard protects servers from requests that crash them. It is safe for concurrent use.
 type Guard struct {
-	self   string
-	tell   Tell
-	logger *zap.Logger
-	// known is how many requests the table remembers: with none, nothing is looked up.
-	known atomic.Int32
+	self      string
+	broadcast Broadcast
+	logger    *zap.Logger
+	// suspectCount is the number of requests in the table. While it is zero, no digests are
+	// computed or looked up.
+	suspectCount atomic.Int32
 
 	mutex sync.Mutex
 	table *Table
 	nodes []string
-	// lost are the requests that were lost with lives of servers lately.
-	lost map[string][]Digest
-	// alone holds, by service in which a suspect runs alone, what is closed once it has ended.
-	alone map[string]chan struct{}
+	// pendingCrashes holds, by server, the requests lost in a crash that has not been
+	// attributed yet.
+	pendingCrashes map[string][]Digest
+	// exclusive holds, by service, a channel that is closed when the suspect running
+	// exclusively has ended.
+	exclusive map[string]chan struct{}
 }
 
-// NewGuard returns the guard of a node. Without a way to tell other nodes it knows what it
-// saw itself.
-func NewGuard(self string, tell Tell, logger *zap.Logger) *Guard {
+// NewGuard returns the guard of a node. broadcast must not be nil if crashes are recorded; one
+// that does nothing limits the guard to the evidence of its own node.
+func NewGuard(self string, broadcast Broadcast, logger *zap.Logger) *Guard {
 	return &Guard{
-		self: self, tell: tell, logger: logger, table: NewTable(),
-		lost: make(map[string][]Digest), alone: make(map[string]chan struct{}),
+		self: self, broadcast: broadcast, logger: logger, table: NewTable(),
+		pendingCrashes: make(map[string][]Digest), exclusive: make(map[string]chan struct{}),
 	}
 }
 
-// Follow takes in the names of the registered nodes.
+// Follow sets the names of the registered nodes.
 func (g *Guard) Follow(nodes []string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.nodes = nodes
 }
 
-// Decision is what is decided of a request.
+// Decision is the decision on one request.
 type Decision struct {
-	// Refused is true if it may not be sent now, and RetryAfter when to come back then.
+	// Refused is true if the request must not be sent now. RetryAfter is the delay after which
+	// the client should retry then.
 	Refused    bool
 	RetryAfter time.Duration
-	// Suspected is true if something is known of the request, so that Ended must be called
-	// once it has ended.
+	// Suspected is true if there is evidence against the request. Ended must be called once
+	// such a request has ended.
 	Suspected bool
-	// alone is true if no other suspect of its service runs until then.
-	alone bool
+	// exclusive is true if no other suspect of the service is sent until Ended is called.
+	exclusive bool
 }
 
-// Refused reports whether a request may be sent to no server, and when to come back.
-func (g *Guard) Refused(request func() Request) (after time.Duration, refused bool) {
-	if g.known.Load() == 0 {
+// Refused reports whether a request must not be sent to any server, and the delay after which
+// the client should retry.
+func (g *Guard) Refused(request func() Request) (retryAfter time.Duration, refused bool) {
+	if g.suspectCount.Load() == 0 {
 		return 0, false
 	}
 	digest := DigestOf(request())
@@ -87,154 +93,154 @@
 	return left, verdict == Refuse
 }
 
-// Admit decides on a request that is about to be sent to a server of its service. A suspect
-// waits a little for another one that runs.
+// Admit decides on a request that is about to be sent to a server. A suspect waits up to
+// exclusiveWait for another suspect of its service that is running.
 func (g *Guard) Admit(ctx context.Context, request func() Request) Decision {
-	if g.known.Load() == 0 {
+	if g.suspectCount.Load() == 0 {
 		return Decision{}
 	}
-	asked := request()
-	digest := DigestOf(asked)
-	bounded, cancel := context.WithTimeout(ctx, aloneWait)
+	identity := request()
+	digest := DigestOf(identity)
+	waitCtx, cancel := context.WithTimeout(ctx, exclusiveWait)
 	defer cancel()
 	for {
-		decision, busy := g.admit(asked.Service, digest)
+		decision, busy := g.tryAdmit(identity.Service, digest)
 		if busy == nil {
 			return decision
 		}
 		select {
 		case <-busy:
-		case <-bounded.Done():
-			return Decision{Refused: true, RetryAfter: aloneRetry, Suspected: true}
+		case <-waitCtx.Done():
+			return Decision{Refused: true, RetryAfter: exclusiveRetryAfter, Suspected: true}
 		}
 	}
 }
 
-// admit decides on a request, or returns what is closed once the suspect has ended that it has
-// to wait for.
-func (g *Guard) admit(service string, digest Digest) (Decision, <-chan struct{}) {
+// tryAdmit decides on a request. If it has to wait for a running suspect, it returns a channel
+// that is closed when that one has ended.
+func (g *Guard) tryAdmit(service string, digest Digest) (Decision, <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	verdict, left := g.table.Verdict(time.Now(), digest, func() int { return g.rank(digest) })
 	switch verdict {
 	case Refuse:
 		return Decision{Refused: true, RetryAfter: left, Suspected: true}, nil
-	case Alone:
-		if ended := g.alone[service]; ended != nil {
+	case SendExclusively:
+		if ended := g.exclusive[service]; ended != nil {
 			return Decision{}, ended
 		}
-		g.alone[service] = make(chan struct{})
-		g.logger.Info("suspected request runs alone", zap.String("digest", hex.EncodeToString(digest[:])), zap.String("service", service))
+		g.exclusive[service] = make(chan struct{})
+		g.logger.Info("suspected request sent exclusively", zap.String("digest", hex.EncodeToString(digest[:])), zap.String("service", service))
 	}
-	return Decision{Suspected: g.table.lives(digest) > 0, alone: verdict == Alone}, nil
+	return Decision{Suspected: g.table.crashes(digest) > 0, exclusive: verdict == SendExclusively}, nil
 }
 
-// Ended takes in that a suspected request has ended, on which was decided so, and whether its
-// server answered it.
-func (g *Guard) Ended(request Request, decided Decision, answered bool) {
+// Ended records that a suspected request has ended. decision is what Admit returned for it, and
+// answered is true if the server answered.
+func (g *Guard) Ended(request Request, decision Decision, answered bool) {
 	digest := DigestOf(request)
 	g.mutex.Lock()
-	if decided.alone {
-		close(g.alone[request.Service])
-		delete(g.alone, request.Service)
+	if decision.exclusive {
+		close(g.exclusive[request.Service])
+		delete(g.exclusive, request.Service)
 	}
-	var told Suspect
-	tell := false
+	var cleared Suspect
+	broadcast := false
 	if answered {
-		told, tell = g.table.Answered(time.Now(), digest)
+		cleared, broadcast = g.table.RecordAnswer(time.Now(), digest)
 	}
 	g.mutex.Unlock()
-	if tell {
-		g.logger.Info("suspicion cleared", zap.String("digest", hex.EncodeToString(digest[:])))
+	if broadcast {
+		g.logger.Info("suspected request cleared", zap.String("digest", hex.EncodeToString(digest[:])))
 		changesTotal.WithLabelValues("cleared").Inc()
-		g.tell([]Suspect{told})
+		g.broadcast([]Suspect{cleared})
 	}
 }
 
-// Lost takes in that a life of a server crashed while it ran a request. What is lost with
-// one life is judged together, a moment later.
-func (g *Guard) Lost(life string, request Request) {
+// Lost records that a server crashed while it ran a request. The requests lost with one server
+// are collected for crashGroupingTime and evaluated together.
+func (g *Guard) Lost(server string, request Request) {
 	digest := DigestOf(request)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	gathered, open := g.lost[life]
-	g.lost[life] = append(gathered, digest)
-	if !open {
-		time.AfterFunc(gatherFor, func() { g.judge(life) })
+	digests, scheduled := g.pendingCrashes[server]
+	g.pendingCrashes[server] = append(digests, digest)
+	if !scheduled {
+		time.AfterFunc(crashGroupingTime, func() { g.attributeCrash(server) })
 	}
 }
 
-// judge finds what is to blame for a crash and tells the other nodes.
-func (g *Guard) judge(life string) {
+// attributeCrash determines the suspects of a crash and sends them to the other nodes.
+func (g *Guard) attributeCrash(server string) {
 	now := time.Now()
 	g.mutex.Lock()
-	running := g.lost[life]
-	delete(g.lost, life)
-	blamed := g.table.Crashed(now, life, running)
-	g.known.Store(int32(g.table.Len()))
+	running := g.pendingCrashes[server]
+	delete(g.pendingCrashes, server)
+	blamed := g.table.RecordCrash(now, server, running)
+	g.suspectCount.Store(int32(g.table.Len()))
 	g.mutex.Unlock()
 	crashesTotal.Inc()
-	g.logger.Info("server crashed", zap.String("server", life), zap.Int("running", len(running)), zap.Int("blamed", len(blamed)))
+	g.logger.Info("server crashed", zap.String("server", server), zap.Int("running", len(running)), zap.Int("blamed", len(blamed)))
 	for _, suspect := range blamed {
-		g.logBlamed(suspect)
+		g.logSuspect(suspect)
 	}
 	if len(blamed) > 0 {
-		g.tell(blamed)
+		g.broadcast(blamed)
 	}
 }
 
-func (g *Guard) logBlamed(suspect Suspect) {
-	text := "request suspected"
-	if suspect.Certain() {
-		text = "request crashes servers"
+func (g *Guard) logSuspect(suspect Suspect) {
+	text := "request suspected of crashing servers"
+	if suspect.Confirmed() {
+		text = "request confirmed to crash servers"
 		changesTotal.WithLabelValues("certain").Inc()
 	}
 	g.logger.Info(text, zap.String("digest", hex.EncodeToString(suspect.Digest[:])), zap.Strings("servers", suspect.Lives))
 }
 
-// Take takes in what another node told.
+// Take merges suspects received from another node.
 func (g *Guard) Take(suspects []Suspect) {
 	now := time.Now()
 	g.mutex.Lock()
 	var changed []Suspect
-	for _, told := range suspects {
-		if g.table.Merge(now, told) {
-			changed = append(changed, g.table.suspect(now, told.Digest))
+	for _, received := range suspects {
+		if g.table.Merge(now, received) {
+			changed = append(changed, g.table.suspect(now, received.Digest))
 		}
 	}
-	g.known.Store(int32(g.table.Len()))
+	g.suspectCount.Store(int32(g.table.Len()))
 	g.mutex.Unlock()
 	for _, suspect := range changed {
-		if suspect.Certain() {
-			g.logBlamed(suspect)
+		if suspect.Confirmed() {
+			g.logSuspect(suspect)
 		}
 	}
 }
 
-// TellAgain tells the other nodes what is certain if this node is one of those that do so for
-// it, and forgets what has lapsed. It is to be called every TellAgainEvery.
+// TellAgain repeats the confirmed suspects that this node is responsible for to the other
+// nodes, and drops expired ones. It must be called at the interval for repeated broadcasts.
 func (g *Guard) TellAgain() {
-	if g.known.Load() == 0 {
+	if g.suspectCount.Load() == 0 {
 		return
 	}
 	g.mutex.Lock()
-	var certain []Suspect
-	for _, suspect := range g.table.Certain(time.Now()) {
-		if g.rank(suspect.Digest) < tellers {
-			certain = append(certain, suspect)
+	var confirmed []Suspect
+	for _, suspect := range g.table.Confirmed(time.Now()) {
+		if g.rank(suspect.Digest) < broadcasterCount {
+			confirmed = append(confirmed, suspect)
 		}
 	}
-	g.known.Store(int32(g.table.Len()))
+	g.suspectCount.Store(int32(g.table.Len()))
 	g.mutex.Unlock()
-	for len(certain) > 0 {
-		count := min(len(certain), MaxBlamed)
-		g.tell(certain[:count])
-		certain = certain[count:]
+	for len(confirmed) > 0 {
+		count := min(len(confirmed), MaxBlamed)
+		g.broadcast(confirmed[:count])
+		confirmed = confirmed[count:]
 	}
 }
 
-// rank returns this node's place among those that may try a request again. The caller holds
-// the mutex.
+// rank returns this node's position, by rendezvous hashing, among the nodes that may try a
+// refused request again. The caller holds the mutex.
 func (g *Guard) rank(digest Digest) int {
 	own := rendezvous.Score(string(digest[:]), g.self)
 	rank := 0
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -1,8 +1,9 @@
-// Package poison finds requests that crash the servers that run them, so that they are sent
-// nowhere any more. docs/design/crashing-requests.md has what counts as evidence and the ways
-// that were weighed.
+// Package poison identifies requests that crash the servers running them, so that they are no
+// longer sent to any server. docs/design/crashing-requests.md describes what counts as evidence
+// and compares the alternatives. In this package a server is a single process: it has a new ID
+// after each restart.
 //
-// Table is pure: it has neither I/O nor a clock. Guard is the one that nodes use.
+// Table does no I/O and reads no clock. Guard is what nodes use.
 package poison
 
 import (
@@ -12,240 +13,243 @@
 )
 
 const (
-	// aloneFrom is from how many lives of servers a suspect runs alone, and certainFrom from
-	// how many it is refused.
-	aloneFrom   = 2
-	certainFrom = 3
-	// suspectFor is for how long a suspect is remembered that crashes nothing more.
-	suspectFor = time.Minute
-	// refusedFor is for how long a request that has crashed certainFrom lives is refused; each
-	// further life doubles that, up to longestRefused.
-	refusedFor     = time.Minute
-	longestRefused = 10 * time.Minute
-	// trialPause is the time between the first node that tries such a request again and the
-	// next one: enough for the others to hear what came of it.
-	trialPause = 2 * time.Second
-	// maxTrialRank is the rank from which all nodes may try it: with nobody asking for it at
-	// the nodes before them for so long, there is hardly anybody who does.
+	// exclusiveThreshold is the number of crashes from which a suspect is sent only while no
+	// other suspect runs, and refuseThreshold the number from which it is refused.
+	exclusiveThreshold = 2
+	refuseThreshold    = 3
+	// suspectTTL is how long a suspect is remembered after its last crash.
+	suspectTTL = time.Minute
+	// refusalTime is how long a request is refused after refuseThreshold crashes. It doubles
+	// with each further crash, up to maxRefusalTime.
+	refusalTime    = time.Minute
+	maxRefusalTime = 10 * time.Minute
+	// trialInterval is the delay between consecutive nodes in trying a refused request again.
+	// It gives the other nodes time to learn the result of a trial.
+	trialInterval = 2 * time.Second
+	// maxTrialRank is the rank from which all nodes may try a refused request again. If the
+	// nodes ranked before them have had no such request for so long, hardly anyone sends it.
 	maxTrialRank = 16
-	// maxLives bounds the lives that are remembered of one suspect, and maxSuspects the
-	// suspects of a node.
-	maxLives    = 8
-	maxSuspects = 1024
-	// MaxBlamed bounds how many requests one crash is put down to: more of them would say
-	// nothing of any.
+	// maxRecordedCrashes bounds the crashes recorded for one suspect, and maxSuspects the
+	// number of suspects at a node.
+	maxRecordedCrashes = 8
+	maxSuspects        = 1024
+	// MaxBlamed bounds the number of requests that one crash is attributed to. If more requests
+	// qualify, the crash is hardly evidence against any of them.
 	MaxBlamed = 16
 )
 
-// Digest stands for all tries of one request.
+// Digest identifies a request across all its attempts.
 type Digest [16]byte
 
-// Suspect is what is known of a request.
+// Suspect is what is known of a request that is suspected of crashing servers, as it is sent
+// between nodes.
 type Suspect struct {
 	Digest Digest
-	// Lives are the lives of servers that crashed while they ran it, at most maxLives.
+	// Lives are the IDs of the servers that crashed while running the request, at most
+	// maxRecordedCrashes.
 	Lives []string
-	// Age is how long ago that was last the case; or how long ago it was answered, if
-	// Cleared.
+	// Age is the time since the last of these crashes, or since the answer if Cleared.
 	Age time.Duration
-	// Cleared is true if a server answered it since.
+	// Cleared is true if a server has answered the request since the crashes.
 	Cleared bool
 }
 
-// Certain reports whether the request is refused.
-func (s Suspect) Certain() bool { return len(s.Lives) >= certainFrom }
+// Confirmed reports whether the evidence suffices to refuse the request.
+func (s Suspect) Confirmed() bool { return len(s.Lives) >= refuseThreshold }
 
-// Verdict is what is done with a request.
+// Verdict is how a request is to be handled.
 type Verdict int
 
-// The verdicts.
 const (
-	// Send: it goes like others.
+	// Send means that the request is sent without restrictions.
 	Send Verdict = iota
-	// Alone: it goes if no other suspect of its service runs at this node.
-	Alone
-	// Refuse: it goes nowhere.
+	// SendExclusively means that the request is sent only while no other suspect of its service
+	// runs at this node.
+	SendExclusively
+	// Refuse means that the request is not sent to any server.
 	Refuse
 )
 
-// Table is what one node knows of requests that servers crashed of. It is not safe for
-// concurrent use.
+// Table holds one node's evidence against requests. It is not safe for concurrent use.
 type Table struct {
 	entries map[Digest]*entry
 }
 
 type entry struct {
-	lives []string
-	// at is when a life last crashed, or when the request was answered if it is cleared.
-	at      time.Time
+	// crashes holds the IDs of the servers that crashed while running the request.
+	crashes []string
+	// eventAt is the time of the last crash, or of the answer if cleared is set.
+	eventAt time.Time
 	cleared bool
 }
 
-// NewTable returns a table that suspects nothing.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: make(map[Digest]*entry)} }
 
-// Len is how many requests are remembered.
+// Len returns the number of requests in the table.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Crashed takes in that a life of a server crashed while it ran some requests, and returns
-// those that are blamed for it.
-func (t *Table) Crashed(now time.Time, life string, running []Digest) []Suspect {
-	t.forget(now)
-	most := 0
+// RecordCrash records that a server crashed while it ran some requests, and returns those that
+// the crash is attributed to: the ones with the most crashes so far.
+func (t *Table) RecordCrash(now time.Time, server string, running []Digest) []Suspect {
+	t.evictExpired(now)
+	maxCrashes := 0
 	for _, digest := range running {
-		most = max(most, t.lives(digest))
+		maxCrashes = max(maxCrashes, t.crashes(digest))
 	}
 	var blamed []Suspect
 	for _, digest := range running {
-		if t.lives(digest) < most || len(blamed) == MaxBlamed {
+		if t.crashes(digest) < maxCrashes || len(blamed) == MaxBlamed {
 			continue
 		}
-		if t.add(now, digest, life) {
+		if t.addCrash(now, digest, server) {
 			blamed = append(blamed, t.suspect(now, digest))
 		}
 	}
 	return blamed
 }
 
-// Merge takes in what another node knows of a request, and reports whether that changes what
-// is known here.
-func (t *Table) Merge(now time.Time, told Suspect) bool {
-	at := now.Add(-told.Age)
-	known := t.entries[told.Digest]
-	if told.Cleared {
-		if known == nil || known.cleared || at.Before(known.at) {
+// Merge merges another node's evidence on a request, and reports whether that changed anything.
+func (t *Table) Merge(now time.Time, received Suspect) bool {
+	eventAt := now.Add(-received.Age)
+	known := t.entries[received.Digest]
+	if received.Cleared {
+		if known == nil || known.cleared || eventAt.Before(known.eventAt) {
 			return false
 		}
-		*known = entry{at: at, cleared: true}
+		*known = entry{eventAt: eventAt, cleared: true}
 		return true
 	}
-	if known != nil && known.cleared && !at.After(known.at) {
+	if known != nil && known.cleared && !eventAt.After(known.eventAt) {
 		return false
 	}
 	changed := false
-	for _, life := range told.Lives {
-		changed = t.add(at, told.Digest, life) || changed
+	for _, server := range received.Lives {
+		changed = t.addCrash(eventAt, received.Digest, server) || changed
 	}
 	return changed
 }
 
-// Answered takes in that a server answered a request. If others suspect it too they are to be
-// told what is returned.
-func (t *Table) Answered(now time.Time, digest Digest) (told Suspect, tell bool) {
+// RecordAnswer records that a server answered a request, which clears it. update must be sent
+// to the other nodes if broadcast is true, since they may suspect the request too.
+func (t *Table) RecordAnswer(now time.Time, digest Digest) (update Suspect, broadcast bool) {
 	known := t.entries[digest]
 	if known == nil || known.cleared {
 		return Suspect{}, false
 	}
-	lives := len(known.lives)
-	*known = entry{at: now, cleared: true}
-	return t.suspect(now, digest), lives >= aloneFrom
+	crashes := len(known.crashes)
+	*known = entry{eventAt: now, cleared: true}
+	return t.suspect(now, digest), crashes >= exclusiveThreshold
 }
 
-// Verdict returns what is done with a request at the node of a rank among those that may try
-// it again, 0 being the first, and for how long if it is refused.
+// Verdict returns how to handle a request, and for how much longer it is refused. rank is the
+// rank of this node among those that may try a refused request again, starting at 0.
 func (t *Table) Verdict(now time.Time, digest Digest, rank func() int) (Verdict, time.Duration) {
 	known := t.entries[digest]
-	if known == nil || known.cleared || now.Sub(known.at) > known.rememberedFor() {
+	if known == nil || known.cleared || now.Sub(known.eventAt) > known.retention() {
 		return Send, 0
 	}
-	switch lives := len(known.lives); {
-	case lives < aloneFrom:
+	switch crashes := len(known.crashes); {
+	case crashes < exclusiveThreshold:
 		return Send, 0
-	case lives < certainFrom:
-		return Alone, 0
+	case crashes < refuseThreshold:
+		return SendExclusively, 0
 	}
-	over := known.at.Add(known.refusedFor())
-	if now.Before(over) {
-		return Refuse, over.Sub(now)
+	refusedUntil := known.eventAt.Add(known.refusalTime())
+	if now.Before(refusedUntil) {
+		return Refuse, refusedUntil.Sub(now)
 	}
-	over = over.Add(trialPause * time.Duration(min(rank(), maxTrialRank)))
-	if now.Before(over) {
-		return Refuse, over.Sub(now)
+	refusedUntil = refusedUntil.Add(trialInterval * time.Duration(min(rank(), maxTrialRank)))
+	if now.Before(refusedUntil) {
+		return Refuse, refusedUntil.Sub(now)
 	}
-	return Alone, 0
+	return SendExclusively, 0
 }
 
-// Certain returns the requests that are refused.
-func (t *Table) Certain(now time.Time) []Suspect {
-	t.forget(now)
-	var certain []Suspect
+// Confirmed returns the requests that the evidence suffices to refuse.
+func (t *Table) Confirmed(now time.Time) []Suspect {
+	t.evictExpired(now)
+	var confirmed []Suspect
 	for digest := range t.entries {
-		if suspect := t.suspect(now, digest); suspect.Certain() {
-			certain = append(certain, suspect)
+		if suspect := t.suspect(now, digest); suspect.Confirmed() {
+			confirmed = append(confirmed, suspect)
 		}
 	}
-	return certain
+	return confirmed
 }
 
-// Suspect returns what is known of a request.
+// suspect returns what is known of a request in the table.
 func (t *Table) suspect(now time.Time, digest Digest) Suspect {
 	known := t.entries[digest]
-	return Suspect{Digest: digest, Lives: slices.Clone(known.lives), Age: now.Sub(known.at), Cleared: known.cleared}
+	return Suspect{Digest: digest, Lives: slices.Clone(known.crashes), Age: now.Sub(known.eventAt), Cleared: known.cleared}
 }
 
-func (t *Table) lives(digest Digest) int {
+func (t *Table) crashes(digest Digest) int {
 	if known := t.entries[digest]; known != nil {
-		return len(known.lives)
+		return len(known.crashes)
 	}
 	return 0
 }
 
-// add adds a life that crashed while it ran a request, and reports whether it wasn't known.
-func (t *Table) add(at time.Time, digest Digest, life string) bool {
+// addCrash records a server that crashed while running a request, and reports whether it was
+// not recorded before.
+func (t *Table) addCrash(eventAt time.Time, digest Digest, server string) bool {
 	known := t.entries[digest]
 	if known == nil {
 		known = &entry{}
-		t.makeRoom()
+		t.evictIfFull()
 		t.entries[digest] = known
 	}
-	if slices.Contains(known.lives, life) {
+	if slices.Contains(known.crashes, server) {
 		return false
 	}
 	known.cleared = false
-	if at.After(known.at) {
-		known.at = at
+	if eventAt.After(known.eventAt) {
+		known.eventAt = eventAt
 	}
-	known.lives = append(known.lives, life)
-	if len(known.lives) > maxLives {
-		known.lives = known.lives[1:]
+	known.crashes = append(known.crashes, server)
+	if len(known.crashes) > maxRecordedCrashes {
+		known.crashes = known.crashes[1:]
 	}
 	return true
 }
 
-// makeRoom drops the least suspected one, of those the oldest, if the table is full.
-func (t *Table) makeRoom() {
+// evictIfFull makes room for one more suspect if the table is full. It drops the one with the
+// fewest crashes, and the oldest of several.
+func (t *Table) evictIfFull() {
 	if len(t.entries) < maxSuspects {
 		return
 	}
 	var least Digest
 	var leastEntry *entry
 	for digest, known := range t.entries {
-		if leastEntry == nil || cmp.Or(cmp.Compare(len(known.lives), len(leastEntry.lives)), known.at.Compare(leastEntry.at)) < 0 {
+		if leastEntry == nil || cmp.Or(cmp.Compare(len(known.crashes), len(leastEntry.crashes)), known.eventAt.Compare(leastEntry.eventAt)) < 0 {
 			least, leastEntry = digest, known
 		}
 	}
 	delete(t.entries, least)
 }
 
-// forget drops what has lapsed.
-func (t *Table) forget(now time.Time) {
+// evictExpired drops suspects whose retention has passed.
+func (t *Table) evictExpired(now time.Time) {
 	for digest, known := range t.entries {
-		if now.Sub(known.at) > known.rememberedFor() {
+		if now.Sub(known.eventAt) > known.retention() {
 			delete(t.entries, digest)
 		}
 	}
 }
 
-// refusedFor is for how long a request is refused after the last life that crashed of it.
-func (e *entry) refusedFor() time.Duration {
-	return min(longestRefused, refusedFor<<max(0, len(e.lives)-certainFrom))
+// refusalTime is how long the request is refused after its last crash.
+func (e *entry) refusalTime() time.Duration {
+	return min(maxRefusalTime, refusalTime<<max(0, len(e.crashes)-refuseThreshold))
 }
 
-func (e *entry) rememberedFor() time.Duration {
-	if len(e.lives) < certainFrom {
-		return suspectFor
+func (e *entry) retention() time.Duration {
+	if len(e.crashes) < refuseThreshold {
+		return suspectTTL
 	}
-	// One that nobody asks for any more is forgotten; until then the next crash of it counts
-	// as one more.
-	return e.refusedFor() + trialPause*maxTrialRank + suspectFor
+	// After the refusal the request is kept until all nodes may try it again, plus suspectTTL,
+	// so that another crash counts on top of the earlier ones. It is dropped if it is not sent
+	// again.
+	return e.refusalTime() + trialInterval*maxTrialRank + suspectTTL
 }
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -16,42 +16,43 @@
 	return d
 }
 
-func first() int { return 0 }
+func firstRank() int { return 0 }
 
 func verdictAt(t *Table, at time.Time, d Digest) Verdict {
-	verdict, _ := t.Verdict(at, d, first)
+	verdict, _ := t.Verdict(at, d, firstRank)
 	return verdict
 }
 
-// crash lets a life crash while it runs some requests.
-func crash(t *Table, at time.Time, life int, running ...Digest) {
-	t.Crashed(at, fmt.Sprintf("s%d", life), running)
+// crash records that a server crashed while it ran some requests.
+func crash(t *Table, at time.Time, server int, running ...Digest) {
+	t.RecordCrash(at, fmt.Sprintf("s%d", server), running)
 }
 
-func TestVerdictsGrowWithTheLivesThatCrashed(t *testing.T) {
+func TestVerdictsGrowWithTheNumberOfCrashes(t *testing.T) {
 	table, guilty := NewTable(), digest(1)
-	for life, want := range []Verdict{Send, Send, Alone, Refuse} {
+	for server, want := range []Verdict{Send, Send, SendExclusively, Refuse} {
 		if got := verdictAt(table, start, guilty); got != want {
-			t.Errorf("after %d lives: verdict %d, want %d", life, got, want)
+			t.Errorf("after %d crashes: verdict %d, want %d", server, got, want)
 		}
-		crash(table, start, life, guilty)
-		// Others saw the same life crash.
-		crash(table, start, life, guilty)
+		crash(table, start, server, guilty)
+		// The same crash, seen by another node, must not count twice.
+		crash(table, start, server, guilty)
 	}
 }
 
-// An innocent request that was lost with the guilty one is blamed for one life at most.
+// An innocent request that was lost together with the guilty one must be blamed for at most one
+// crash.
 func TestOnlyTheMostSuspectedIsBlamed(t *testing.T) {
 	table, guilty := NewTable(), digest(0)
-	for life := range 3 {
-		crash(table, start, life, guilty, digest(10+life), digest(20+life))
+	for server := range 3 {
+		crash(table, start, server, guilty, digest(10+server), digest(20+server))
 	}
 	if verdictAt(table, start, guilty) != Refuse {
-		t.Error("the guilty request isn't refused")
+		t.Error("the guilty request is not refused")
 	}
-	for life := range 3 {
-		if got := table.lives(digest(10 + life)); got > 1 {
-			t.Errorf("an innocent request is blamed for %d lives", got)
+	for server := range 3 {
+		if got := table.crashes(digest(10 + server)); got > 1 {
+			t.Errorf("an innocent request is blamed for %d crashes", got)
 		}
 	}
 }
@@ -59,28 +60,28 @@
 func TestAnswerClears(t *testing.T) {
 	table, innocent := NewTable(), digest(1)
 	crash(table, start, 0, innocent)
-	if _, tell := table.Answered(start, innocent); tell {
-		t.Error("others are told of what they don't suspect")
+	if _, broadcast := table.RecordAnswer(start, innocent); broadcast {
+		t.Error("an answer is broadcast although the other nodes do not suspect the request")
 	}
 	crash(table, start, 1, innocent)
 	crash(table, start, 2, innocent)
-	told, tell := table.Answered(start.Add(time.Second), innocent)
-	if !tell || !told.Cleared {
-		t.Error("others aren't told that it was answered")
+	cleared, broadcast := table.RecordAnswer(start.Add(time.Second), innocent)
+	if !broadcast || !cleared.Cleared {
+		t.Error("the answer to a suspect is not broadcast as cleared")
 	}
 	if verdictAt(table, start.Add(time.Second), innocent) != Send {
-		t.Error("it is still suspected")
+		t.Error("the request is still suspected")
 	}
 	other := NewTable()
 	crash(other, start, 1, innocent)
 	crash(other, start, 2, innocent)
-	if !other.Merge(start.Add(time.Second), told) || verdictAt(other, start.Add(time.Second), innocent) != Send {
-		t.Error("another node still suspects it")
+	if !other.Merge(start.Add(time.Second), cleared) || verdictAt(other, start.Add(time.Second), innocent) != Send {
+		t.Error("another node still suspects the request")
 	}
-	// What is older than the answer says nothing any more.
+	// Evidence older than the answer must be ignored.
 	old := Suspect{Digest: innocent, Lives: []string{"a", "b", "c"}, Age: 2 * time.Second}
 	if other.Merge(start.Add(time.Second), old) {
-		t.Error("older news count")
+		t.Error("evidence older than the answer is merged")
 	}
 }
 
@@ -90,41 +91,42 @@
 	crash(one, start, 1, guilty)
 	crash(two, start, 1, guilty)
 	crash(two, start, 2, guilty)
-	told := one.suspect(start, guilty)
-	if !two.Merge(start, told) || two.Merge(start, told) {
-		t.Error("the same news count twice, or not at all")
+	received := one.suspect(start, guilty)
+	if !two.Merge(start, received) || two.Merge(start, received) {
+		t.Error("the same evidence counts twice, or not at all")
 	}
-	if got := two.lives(guilty); got != 3 {
-		t.Errorf("%d lives, want the three that crashed", got)
+	if got := two.crashes(guilty); got != 3 {
+		t.Errorf("%d crashes, want three", got)
 	}
-	if len(two.Certain(start)) != 1 || len(one.Certain(start)) != 0 {
-		t.Error("certain requests are others than those of three lives")
+	if len(two.Confirmed(start)) != 1 || len(one.Confirmed(start)) != 0 {
+		t.Error("confirmed requests are not exactly those with three crashes")
 	}
 }
 
-// Refused requests are tried again by one node after the other, and later each time.
+// Refused requests are tried again by one node after the other, and after a longer time for
+// each further crash.
 func TestRefusedRequestsAreTriedAgain(t *testing.T) {
 	table, guilty := NewTable(), digest(1)
-	for life := range 3 {
-		crash(table, start, life, guilty)
+	for server := range 3 {
+		crash(table, start, server, guilty)
 	}
-	over := start.Add(refusedFor)
+	refusedUntil := start.Add(refusalTime)
 	second := func() int { return 1 }
-	if verdict, left := table.Verdict(over.Add(-time.Second), guilty, first); verdict != Refuse || left != time.Second {
-		t.Errorf("verdict %d, %v left a second before its time is over", verdict, left)
+	if verdict, left := table.Verdict(refusedUntil.Add(-time.Second), guilty, firstRank); verdict != Refuse || left != time.Second {
+		t.Errorf("verdict %d, %v left one second before the end of the refusal", verdict, left)
 	}
-	if verdictAt(table, over, guilty) != Alone {
-		t.Error("the first node doesn't try it again")
+	if verdictAt(table, refusedUntil, guilty) != SendExclusively {
+		t.Error("the first node does not try the request again")
 	}
-	if verdict, _ := table.Verdict(over, guilty, second); verdict != Refuse {
-		t.Error("the second node tries it together with the first")
+	if verdict, _ := table.Verdict(refusedUntil, guilty, second); verdict != Refuse {
+		t.Error("the second node tries the request at the same time as the first")
 	}
-	if verdict, _ := table.Verdict(over.Add(trialPause), guilty, second); verdict != Alone {
-		t.Error("the second node never tries it")
+	if verdict, _ := table.Verdict(refusedUntil.Add(trialInterval), guilty, second); verdict != SendExclusively {
+		t.Error("the second node never tries the request")
 	}
-	crash(table, over, 3, guilty)
-	if verdictAt(table, over.Add(2*refusedFor-time.Second), guilty) != Refuse {
-		t.Error("it is tried again as soon as before")
+	crash(table, refusedUntil, 3, guilty)
+	if verdictAt(table, refusedUntil.Add(2*refusalTime-time.Second), guilty) != Refuse {
+		t.Error("the refusal did not get longer after a further crash")
 	}
 }
 
@@ -132,8 +134,8 @@
 	table := NewTable()
 	crash(table, start, 0, digest(1))
 	crash(table, start, 1, digest(1))
-	if verdictAt(table, start.Add(suspectFor+time.Second), digest(1)) != Send {
-		t.Error("a suspect of long ago is one still")
+	if verdictAt(table, start.Add(suspectTTL+time.Second), digest(1)) != Send {
+		t.Error("a suspect is remembered after its TTL")
 	}
 	for number := range 3 * maxSuspects {
 		crash(table, start.Add(time.Duration(number)*time.Millisecond), number, digest(100+number))
@@ -145,27 +147,27 @@
 
 func TestManySuspectsDoNotPushOutACertainOne(t *testing.T) {
 	table, guilty := NewTable(), digest(1)
-	for life := range 3 {
-		crash(table, start, life, guilty)
+	for server := range 3 {
+		crash(table, start, server, guilty)
 	}
 	for number := range 2 * maxSuspects {
 		crash(table, start.Add(time.Duration(number)*time.Millisecond), 10+number, digest(100+number))
 	}
 	if verdictAt(table, start.Add(5*time.Second), guilty) != Refuse {
-		t.Error("it is forgotten")
+		t.Error("the confirmed suspect was evicted")
 	}
 }
 
-// Plays servers that crash of nothing in particular, and of one request besides, while some
-// popular requests run and many that come once; what is lost comes again. Counts both
-// mistakes: innocent requests that are refused, and servers that crash of the guilty one after
-// the third.
+// Simulates servers that crash for unrelated reasons, and because of one guilty request, while
+// they run a few popular requests and many unique ones; lost requests are retried. It counts
+// both kinds of errors: innocent requests that are refused, and servers that the guilty request
+// crashes after the third.
 func TestMistakesOfBothKinds(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		guilty   bool
-		popular  int
-		crashing float64
+		name      string
+		guilty    bool
+		popular   int
+		crashRate float64
 	}{
 		{"crashes of other causes", false, 20, 0.02},
 		{"one popular request", false, 1, 0.05},
@@ -175,37 +177,38 @@
 		t.Run(c.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(7, uint64(c.popular)))
 			table, guilty := NewTable(), digest(0)
-			asked, refused, crashes, life, once := 0, 0, 0, 0, 1000
-			// waiting is for how many steps a suspect has waited for another one.
-			const mostSteps = int(aloneWait / (50 * time.Millisecond))
-			waiting := make(map[Digest]int)
-			var again []Digest
+			innocent, refused, crashes, server, lastUnique := 0, 0, 0, 0, 1000
+			// waitedSteps is the number of steps for which a suspect has waited for another
+			// one.
+			const maxSteps = int(exclusiveWait / (50 * time.Millisecond))
+			waitedSteps := make(map[Digest]int)
+			var retries []Digest
 			for now := start; now.Before(start.Add(50 * time.Second)); now = now.Add(50 * time.Millisecond) {
-				// What runs at one server at a time.
-				running := append([]Digest(nil), again...)
-				again = nil
+				// The requests that one server runs at the same time.
+				running := append([]Digest(nil), retries...)
+				retries = nil
 				for len(running) < 4 {
 					if random.IntN(2) == 0 {
 						running = append(running, digest(10+random.IntN(c.popular)))
 						continue
 					}
-					once++
-					running = append(running, digest(once))
+					lastUnique++
+					running = append(running, digest(lastUnique))
 				}
-				sent, alone, crashed := running[:0:0], false, random.Float64() < c.crashing
+				sent, exclusiveSent, crashed := running[:0:0], false, random.Float64() < c.crashRate
 				for _, d := range running {
-					asked++
+					innocent++
 					verdict := verdictAt(table, now, d)
-					if waits := verdict == Alone && alone; waits && waiting[d] < mostSteps {
-						waiting[d]++
-						again = append(again, d)
+					if waits := verdict == SendExclusively && exclusiveSent; waits && waitedSteps[d] < maxSteps {
+						waitedSteps[d]++
+						retries = append(retries, d)
 						continue
 					} else if waits || verdict == Refuse {
 						refused++
 						continue
 					}
-					delete(waiting, d)
-					alone = alone || verdict == Alone
+					delete(waitedSteps, d)
+					exclusiveSent = exclusiveSent || verdict == SendExclusively
 					sent = append(sent, d)
 				}
 				if c.guilty && random.IntN(8) == 0 && verdictAt(table, now, guilty) != Refuse {
@@ -214,23 +217,23 @@
 				}
 				if !crashed {
 					for _, d := range sent {
-						table.Answered(now, d)
+						table.RecordAnswer(now, d)
 					}
 					continue
 				}
-				life++
-				crash(table, now, life, sent...)
+				server++
+				crash(table, now, server, sent...)
 				for _, d := range sent {
 					if d != guilty {
-						again = append(again, d)
+						retries = append(retries, d)
 					}
 				}
 			}
-			if part := float64(refused) / float64(asked); part > 1e-4 {
-				t.Errorf("%d of %d innocent requests refused, allowed one in 10,000", refused, asked)
+			if fraction := float64(refused) / float64(innocent); fraction > 1e-4 {
+				t.Errorf("%d of %d innocent requests refused, allowed one in 10,000", refused, innocent)
 			}
-			if c.guilty && (crashes < certainFrom || crashes > certainFrom+2) {
-				t.Errorf("%d servers crashed of the guilty request, want %d or few more", crashes, certainFrom)
+			if c.guilty && (crashes < refuseThreshold || crashes > refuseThreshold+2) {
+				t.Errorf("the guilty request crashed %d servers, want %d, or up to two more", crashes, refuseThreshold)
 			}
 		})
 	}
@@ -242,15 +245,15 @@
 	copied := same
 	copied.Body = []byte("b")
 	if DigestOf(copied) != DigestOf(same) {
-		t.Error("one request has two digests")
+		t.Error("equal requests have different digests")
 	}
 	for name, change := range map[string]func(*Request){
 		"service": func(r *Request) { r.Service = "t" }, "method": func(r *Request) { r.Method = "PUT" },
 		"host": func(r *Request) { r.Host = "i" }, "path": func(r *Request) { r.URI = "/b" },
 		"caller": func(r *Request) { r.Caller = "d" }, "body": func(r *Request) { r.Body = []byte("c") },
 		"fields moved": func(r *Request) { r.Host, r.URI = "h/", "a" },
-		"long body":    func(r *Request) { r.Body = make([]byte, maxDigested) },
-		"longer body":  func(r *Request) { r.Body = make([]byte, maxDigested+1) },
+		"long body":    func(r *Request) { r.Body = make([]byte, maxDigestedBytes) },
+		"longer body":  func(r *Request) { r.Body = make([]byte, maxDigestedBytes+1) },
 	} {
 		other := same
 		change(&other)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -15,130 +15,132 @@
 )
 
 const (
-	// ReportPause is the pause between two reports to a home if no request waits for one.
-	// What a tenant that turns busy uses in it is bounded by what was given ahead.
-	ReportPause = 100 * time.Millisecond
-	// homeTimeout is how long a home may take to answer: above the pauses of a node whose
-	// share of a processor is used up for a tenth of a second. Requests wait for it.
-	homeTimeout = 200 * time.Millisecond
-	// lostFor is for how long a home that did not answer is not asked again.
-	lostFor = 500 * time.Millisecond
-	// holdFor is how long a request waits at most for room that comes by itself: callers'
-	// requests come unevenly, and one that a moment decides is better served than sent back.
-	holdFor = 100 * time.Millisecond
+	// ReportInterval is the time between two reports to a home node while no request waits for
+	// one. If demand rises within it, the prefetched tokens bound what is admitted.
+	ReportInterval = 100 * time.Millisecond
+	// reportTimeout is how long a home node may take to answer a report. It is longer than the
+	// pauses of a node that has used up its CPU share for a tenth of a second, and short
+	// because requests wait for the answer.
+	reportTimeout = 200 * time.Millisecond
+	// unreachableRetryDelay is how long no reports are sent to a home node that did not answer.
+	unreachableRetryDelay = 500 * time.Millisecond
+	// maxWait is how long a request waits at most for tokens to become available. Requests
+	// arrive unevenly, and a short wait is better for the client than a refusal.
+	maxWait = 100 * time.Millisecond
 )
 
-// Use is a report on one name that has a limit: a tenant, or a server that named one.
+// Use is a report on one named limit: that of a tenant, or of a server that announced one.
 type Use struct {
 	Name string
 	Report
-	// Observed is the limit that the node knows of if it was observed; nil for one that is
-	// configured, which every node knows.
+	// Observed is this node's latest observation of the limit; nil for a configured limit,
+	// which every node knows.
 	Observed *Observation
 }
 
-// Answer is the home's answer to it.
+// Answer is the home node's answer to a report on one named limit.
 type Answer struct {
 	Grant
-	// NotHome is true if the node that was asked is not the home of the name.
+	// NotHome is true if the node that was asked is not the home node of the limit.
 	NotHome bool
-	// Observed is what the home knows of an observed limit; nil for a configured one.
+	// Observed is the latest observation that the home node knows; nil for a configured limit.
 	Observed *Observation
 }
 
-// Caller reports to other nodes.
+// Caller sends reports to other nodes.
 type Caller interface {
-	// Report returns an answer for each use, or an error if the home may not have taken
-	// the reports in.
+	// Report returns one answer per report. An error means that the home node may not have
+	// processed the reports.
 	Report(ctx context.Context, address string, uses []Use) ([]Answer, error)
 }
 
-// Decision is what is decided of a request.
+// Decision is the decision on one request.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when to come back.
+	// RetryAfter is the delay after which the client should retry if the request is not
+	// admitted.
 	RetryAfter time.Duration
-	// Detail says what the decision rests on.
+	// Detail gives the reason for a refusal.
 	Detail string
 }
 
-// Limiter lets requests through as far as limits allow over all nodes. Each limit has a
-// name; it is configured, or was observed and holds until something else is observed. It is
-// safe for concurrent use.
+// Limiter admits requests within limits that hold across all nodes. Each limit has a name. It
+// is either configured, or observed from a server's responses until a newer observation
+// replaces it. Limiter is safe for concurrent use.
 type Limiter struct {
-	kind   string
-	self   string
-	caller Caller
-	keeper *Keeper
-	logger *zap.Logger
-	// clock runs while the machine is suspended: what was given ahead lapses for the home too.
+	kind         string
+	self         string
+	transport    Caller
+	accountStore *AccountStore
+	logger       *zap.Logger
+	// clock keeps running while the machine is suspended, because prefetched tokens expire at
+	// the home node during that time too.
 	clock     clock.Clock
 	startedAt time.Duration
-	// limited is how many observed limits are in force.
-	limited atomic.Int32
+	// inForce is the number of observed limits in force.
+	inForce atomic.Int32
 
 	mutex      sync.Mutex
 	tolerance  Tolerance
 	configured map[string]tenants.Limit
-	observed   map[string]observation
+	observed   map[string]timedObservation
 	nodes      []Node
-	// candidates are the nodes that may be homes.
-	candidates []Node
-	homes      map[string]Node
-	shares     map[string]*Share
-	links      map[string]*link
+	// homeCandidates are the nodes among which home nodes are selected.
+	homeCandidates []Node
+	homeByName     map[string]Node
+	localQuotas    map[string]*LocalQuota
+	homeClients    map[string]*homeClient
 }
 
-// NewLimiter returns the limiter of a node for a kind of names, which keeps the accounts of
-// those whose home it is with keeper.
-func NewLimiter(kind, self string, caller Caller, keeper *Keeper, tolerance Tolerance, logger *zap.Logger) *Limiter {
+// NewLimiter returns a node's limiter for limits of one kind, which labels its metrics and
+// logs. accountStore holds the accounts of the limits for which this node is the home node.
+func NewLimiter(kind, self string, transport Caller, accountStore *AccountStore, tolerance Tolerance, logger *zap.Logger) *Limiter {
 	return &Limiter{
-		kind: kind, self: self, caller: caller, keeper: keeper, tolerance: tolerance, logger: logger, clock: clock.Boot, startedAt: clock.Boot(),
-		observed: make(map[string]observation),
-		homes:    make(map[string]Node), shares: make(map[string]*Share), links: make(map[string]*link),
+		kind: kind, self: self, transport: transport, accountStore: accountStore, tolerance: tolerance, logger: logger, clock: clock.Boot, startedAt: clock.Boot(),
+		observed:   make(map[string]timedObservation),
+		homeByName: make(map[string]Node), localQuotas: make(map[string]*LocalQuota), homeClients: make(map[string]*homeClient),
 	}
 }
 
 func (l *Limiter) now() time.Duration { return l.clock() - l.startedAt }
 
-// SetTolerance replaces the tolerance.
 func (l *Limiter) SetTolerance(tolerance Tolerance) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.tolerance = tolerance
-	l.own()
+	l.updateAccounts()
 }
 
-// Follow takes in the configured limits and the registered nodes. Names without a limit are
-// left out.
+// Follow replaces the configured limits and the registered nodes. configured has no entries for
+// names without a limit.
 func (l *Limiter) Follow(configured map[string]tenants.Limit, nodes []Node) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.configured, l.nodes, l.candidates = configured, nodes, strongest(nodes, mostHomes)
-	for name, share := range l.shares {
+	l.configured, l.nodes, l.homeCandidates = configured, nodes, largestByCPUShare(nodes, maxHomes)
+	for name, quota := range l.localQuotas {
 		limit, known := l.limit(name)
 		if !known {
-			delete(l.shares, name)
+			delete(l.localQuotas, name)
 			continue
 		}
-		share.SetLimit(limit)
+		quota.SetLimit(limit)
 	}
-	before := l.homes
-	l.homes = make(map[string]Node, len(configured))
+	previous := l.homeByName
+	l.homeByName = make(map[string]Node, len(configured))
 	for name := range l.limits() {
-		home, found := homeOf(name, l.candidates)
+		home, found := homeOf(name, l.homeCandidates)
 		if !found {
 			continue
 		}
-		l.homes[name] = home
-		if share := l.shares[name]; share != nil && before[name] != home {
-			share.HomeChanged()
+		l.homeByName[name] = home
+		if quota := l.localQuotas[name]; quota != nil && previous[name] != home {
+			quota.HomeChanged()
 		}
 	}
-	l.own()
+	l.updateAccounts()
 }
 
-// limits returns all limits in force. The caller holds the mutex.
+// limits iterates over all limits in force. The caller holds the mutex.
 func (l *Limiter) limits() iter.Seq2[string, tenants.Limit] {
 	return func(yield func(string, tenants.Limit) bool) {
 		for name, limit := range l.configured {
@@ -163,151 +165,155 @@
 	return known.limit(), known.Limited
 }
 
-// Unused reports whether the limiter knows of no limits.
+// Unused reports whether no limits are configured.
 func (l *Limiter) Unused() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.configured) == 0
 }
 
-// own tells the keeper whose home this node is. The caller holds the mutex.
-func (l *Limiter) own() {
+// updateAccounts passes the limits for which this node is the home node to the account store.
+// The caller holds the mutex.
+func (l *Limiter) updateAccounts() {
 	limits := make(map[string]tenants.Limit)
 	for name, limit := range l.limits() {
-		if l.homes[name].Name == l.self {
+		if l.homeByName[name].Name == l.self {
 			limits[name] = limit
 		}
 	}
-	l.keeper.Own(limits, l.tolerance)
+	l.accountStore.SetLimits(limits, l.tolerance)
 }
 
-// Admit decides whether a request that counts for a name with a limit may go. It waits for
-// the home of the name if this node may let none through by itself.
+// Admit decides whether a request that counts against a limit may be sent. Without prefetched
+// tokens it waits for the limit's home node.
 func (l *Limiter) Admit(ctx context.Context, name string, limit tenants.Limit) Decision {
 	if limit.Unlimited() {
 		return Decision{Admitted: true}
 	}
 	l.mutex.Lock()
 	now := l.now()
-	share := l.share(now, name, limit)
-	home, found := l.homes[name]
-	if share.TakeAhead(now) {
+	localQuota := l.localQuota(now, name, limit)
+	home, found := l.homeByName[name]
+	if localQuota.TakePrefetched(now) {
 		if found {
-			l.link(home).report(name)
+			l.homeClient(home).markUnreported(name)
 		}
 		l.mutex.Unlock()
-		l.count("ahead", 1)
+		l.countDecisions("ahead", 1)
 		return Decision{Admitted: true}
 	}
-	if !found || now < l.link(home).lostUntil {
-		decision := l.alone(now, share, home)
+	if !found || now < l.homeClient(home).unreachableUntil {
+		decision := l.decideWithoutHome(now, localQuota, home)
 		l.mutex.Unlock()
 		return decision
 	}
-	w := &waiter{name: name, since: now, decided: make(chan Decision, 1)}
-	l.link(home).ask(w)
+	w := &waiter{name: name, enqueuedAt: now, result: make(chan Decision, 1)}
+	l.homeClient(home).enqueue(w)
 	l.mutex.Unlock()
 	select {
-	case decision := <-w.decided:
+	case decision := <-w.result:
 		return decision
 	case <-ctx.Done():
-		return l.leave(w)
+		return l.abandon(w)
 	}
 }
 
-// leave gives up a request whose caller does not wait any more.
-func (l *Limiter) leave(w *waiter) Decision {
+// abandon withdraws a waiting request whose client has disconnected. If it has been admitted in
+// the meantime, its token is given back.
+func (l *Limiter) abandon(w *waiter) Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	w.left = true
+	w.abandoned = true
 	select {
-	case decision := <-w.decided:
-		if share := l.shares[w.name]; decision.Admitted && share != nil {
-			share.GiveBack()
+	case decision := <-w.result:
+		if quota := l.localQuotas[w.name]; decision.Admitted && quota != nil {
+			quota.GiveBack()
 		}
 	default:
 	}
-	return Decision{Detail: "the caller left", RetryAfter: LongestReturn}
+	return Decision{Detail: "the caller left", RetryAfter: MaxRetryAfter}
 }
 
-// GiveBack tells that a request that was let through did not run.
+// GiveBack returns the token of an admitted request that did not run.
 func (l *Limiter) GiveBack(name string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	share, home := l.shares[name], l.homes[name]
-	if share == nil {
+	quota, home := l.localQuotas[name], l.homeByName[name]
+	if quota == nil {
 		return
 	}
-	share.GiveBack()
+	quota.GiveBack()
 	if home.Name != "" {
-		l.link(home).report(name)
+		l.homeClient(home).markUnreported(name)
 	}
 }
 
-// count counts decisions.
-func (l *Limiter) count(decision string, number int) {
+func (l *Limiter) countDecisions(decision string, number int) {
 	decisionsTotal.WithLabelValues(l.kind, decision).Add(float64(number))
 }
 
-// alone decides without the home. The caller holds the mutex.
-func (l *Limiter) alone(now time.Duration, share *Share, home Node) Decision {
-	admitted, after := share.TakeAlone(now, len(l.nodes))
+// decideWithoutHome decides on a request while the home node is unreachable or unknown. The
+// caller holds the mutex.
+func (l *Limiter) decideWithoutHome(now time.Duration, quota *LocalQuota, home Node) Decision {
+	admitted, retryAfter := quota.TakeWithoutHome(now, len(l.nodes))
 	if admitted {
-		l.count("alone", 1)
+		l.countDecisions("alone", 1)
 		return Decision{Admitted: true}
 	}
-	l.count("refused alone", 1)
-	return Decision{RetryAfter: after, Detail: fmt.Sprintf("node %q, which keeps the account, does not answer", home.Name)}
+	l.countDecisions("refused alone", 1)
+	return Decision{RetryAfter: retryAfter, Detail: fmt.Sprintf("node %q, which keeps the account, does not answer", home.Name)}
 }
 
-// share returns what this node lets through for a name. The caller holds the mutex.
-func (l *Limiter) share(now time.Duration, name string, limit tenants.Limit) *Share {
-	known := l.shares[name]
-	if known == nil {
-		known = NewShare(now, limit)
-		l.shares[name] = known
+// localQuota returns this node's quota state for a name, creating it if necessary. The caller
+// holds the mutex.
+func (l *Limiter) localQuota(now time.Duration, name string, limit tenants.Limit) *LocalQuota {
+	quota := l.localQuotas[name]
+	if quota == nil {
+		quota = NewLocalQuota(now, limit)
+		l.localQuotas[name] = quota
 	}
-	return known
+	return quota
 }
 
-// link returns what connects this node to a home. The caller holds the mutex.
-func (l *Limiter) link(home Node) *link {
-	known := l.links[home.Name]
-	if known == nil || known.home != home {
-		known = newLink(l, home)
-		l.links[home.Name] = known
+// homeClient returns the client for a home node, creating it if the node is new or has changed.
+// The caller holds the mutex.
+func (l *Limiter) homeClient(home Node) *homeClient {
+	client := l.homeClients[home.Name]
+	if client == nil || client.home != home {
+		client = newHomeClient(l, home)
+		l.homeClients[home.Name] = client
 	}
-	return known
+	return client
 }
 
-// call reports to a home, which may be this node.
-func (l *Limiter) call(home Node, uses []Use) ([]Answer, error) {
+// sendReports sends reports to a home node, which may be this node.
+func (l *Limiter) sendReports(home Node, reports []Use) ([]Answer, error) {
 	if home.Name == l.self {
-		return l.Answer(l.self, uses), nil
+		return l.Answer(l.self, reports), nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), homeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	return l.caller.Report(ctx, home.Address, uses)
+	return l.transport.Report(ctx, home.Address, reports)
 }
 
-// Answer answers a node's reports, as the home of the names.
-func (l *Limiter) Answer(node string, uses []Use) []Answer {
-	answers := make([]Answer, 0, len(uses))
-	for _, use := range uses {
-		answers = append(answers, l.answer(node, use))
+// Answer processes another node's reports, as the home node of the limits.
+func (l *Limiter) Answer(node string, reports []Use) []Answer {
+	answers := make([]Answer, 0, len(reports))
+	for _, report := range reports {
+		answers = append(answers, l.handleReport(node, report))
 	}
 	return answers
 }
 
-func (l *Limiter) answer(node string, use Use) Answer {
+func (l *Limiter) handleReport(node string, report Use) Answer {
 	var observed *Observation
-	if use.Observed != nil {
-		known := l.compare(use.Name, *use.Observed)
+	if report.Observed != nil {
+		known := l.mergeObservation(report.Name, *report.Observed)
 		if !known.Limited {
-			return Answer{Grant: Grant{Granted: use.Waiting, Calm: true}, Observed: &known}
+			return Answer{Grant: Grant{Granted: report.Waiting, Calm: true}, Observed: &known}
 		}
 		observed = &known
 	}
-	grant, isHome := l.keeper.Take(use.Name, node, use.Report)
+	grant, isHome := l.accountStore.HandleReport(report.Name, node, report.Report)
 	return Answer{Grant: grant, NotHome: !isHome, Observed: observed}
 }
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -14,39 +14,40 @@
 	"github.com/micahaven/micahaven/internal/tenants"
 )
 
-// network connects limiters by their names.
+// network connects limiters with each other by node name.
 type network struct {
-	mutex sync.Mutex
-	nodes map[string]*Limiter
-	cut   bool
-	calls atomic.Int64
+	mutex       sync.Mutex
+	nodes       map[string]*Limiter
+	partitioned bool
+	calls       atomic.Int64
 }
 
-type port struct {
+type networkTransport struct {
 	*network
 	from string
 }
 
 // Report implements Caller.
-func (p port) Report(_ context.Context, address string, uses []Use) ([]Answer, error) {
+func (p networkTransport) Report(_ context.Context, address string, uses []Use) ([]Answer, error) {
 	p.calls.Add(1)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.cut {
+	if p.partitioned {
 		return nil, errors.New("cut")
 	}
 	return p.nodes[address].Answer(p.from, uses), nil
 }
 
-func (n *network) setCut(cut bool) {
+func (n *network) setPartitioned(partitioned bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut = cut
+	n.partitioned = partitioned
 }
 
 const burstOfTen = 10
 
-// newNetwork returns nodes with one tenant "a" of 2 requests a second and a burst of ten.
+// newNetwork returns a network of nodes with one tenant "a", whose limit is 2 requests per
+// second with a burst of ten.
 func newNetwork(t *testing.T, names ...string) (*network, *tenants.Directory) {
 	t.Helper()
 	directory, err := tenants.NewDirectory([]tenants.Spec{{Tenant: tenants.Tenant{Name: "a", Limit: tenants.Limit{Rate: 2, Burst: burstOfTen}}}})
@@ -56,7 +57,7 @@
 	n := &network{nodes: make(map[string]*Limiter)}
 	var nodes []Node
 	for _, name := range names {
-		n.nodes[name] = NewLimiter("tenants", name, port{n, name}, NewKeeper(), Tolerance{Window: time.Second}, zap.NewNop())
+		n.nodes[name] = NewLimiter("tenants", name, networkTransport{n, name}, NewKeeper(), Tolerance{Window: time.Second}, zap.NewNop())
 		nodes = append(nodes, Node{Name: name, Address: name, Share: 1})
 	}
 	for _, node := range n.nodes {
@@ -65,23 +66,24 @@
 	return n, directory
 }
 
-// fill makes room for as much as the burst at the tenant's home.
-func (n *network) fill(tenant string) string {
+// refillAccount fills the tenant's account to its capacity and returns the name of its home
+// node.
+func (n *network) refillAccount(tenant string) string {
 	for name, node := range n.nodes {
-		node.keeper.mutex.Lock()
-		if account := node.keeper.accounts[tenant]; account != nil {
-			account.level = account.most()
-			node.keeper.mutex.Unlock()
+		node.accountStore.mutex.Lock()
+		if account := node.accountStore.accounts[tenant]; account != nil {
+			account.tokens = account.capacity()
+			node.accountStore.mutex.Unlock()
 			return name
 		}
-		node.keeper.mutex.Unlock()
+		node.accountStore.mutex.Unlock()
 	}
 	return ""
 }
 
 func TestNodesShareOneLimit(t *testing.T) {
 	n, directory := newNetwork(t, "n1", "n2", "n3")
-	n.fill("a")
+	n.refillAccount("a")
 	var admitted, refused atomic.Int64
 	var group sync.WaitGroup
 	for index := range 60 {
@@ -93,8 +95,8 @@
 				return
 			}
 			refused.Add(1)
-			if decision.RetryAfter <= 0 || decision.RetryAfter > LongestReturn || decision.Detail == "" {
-				t.Errorf("refused with %+v", decision)
+			if decision.RetryAfter <= 0 || decision.RetryAfter > MaxRetryAfter || decision.Detail == "" {
+				t.Errorf("refusal without a valid retry delay or detail: %+v", decision)
 			}
 		})
 	}
@@ -112,63 +114,65 @@
 		}
 	}
 	if n.calls.Load() != 0 {
-		t.Errorf("%d reports were sent", n.calls.Load())
+		t.Errorf("%d reports sent, want none", n.calls.Load())
 	}
 }
 
 func TestWhatDidNotRunDoesNotCount(t *testing.T) {
 	n, directory := newNetwork(t, "n1")
-	n.fill("a")
+	n.refillAccount("a")
 	for range 5 * burstOfTen {
 		if !n.nodes["n1"].Admit(context.Background(), "a", directory.ByName("a").Limit).Admitted {
-			t.Fatal("refused, though all before did not run")
+			t.Fatal("refused, although all earlier requests were given back")
 		}
 		n.nodes["n1"].GiveBack("a")
 	}
 }
 
-// A node that does not reach the home decides by itself, and the home knows afterwards.
+// A node that cannot reach the home node decides by itself, does not call it again before the
+// retry delay has passed, and is served again once the connection is back.
 func TestHomeThatIsNotReached(t *testing.T) {
 	n, directory := newNetwork(t, "n1", "n2")
-	home := n.fill("a")
+	home := n.refillAccount("a")
 	other := map[string]string{"n1": "n2", "n2": "n1"}[home]
-	n.setCut(true)
+	n.setPartitioned(true)
 	first := n.nodes[other].Admit(context.Background(), "a", directory.ByName("a").Limit)
 	if first.Admitted || first.RetryAfter <= 0 {
-		t.Errorf("a node that never heard of the home decided %+v at once", first)
+		t.Errorf("decision of a node that never reached the home node: %+v, want a refusal with a retry delay", first)
 	}
 	calls := n.calls.Load()
 	n.nodes[other].Admit(context.Background(), "a", directory.ByName("a").Limit)
 	if n.calls.Load() != calls {
-		t.Error("the home was asked again at once")
+		t.Error("the home node was called again before the retry delay")
 	}
-	n.setCut(false)
-	time.Sleep(lostFor + 50*time.Millisecond)
+	n.setPartitioned(false)
+	time.Sleep(unreachableRetryDelay + 50*time.Millisecond)
 	if decision := n.nodes[other].Admit(context.Background(), "a", directory.ByName("a").Limit); !decision.Admitted {
-		t.Errorf("refused after the home is back: %+v", decision)
+		t.Errorf("refused after the home node is reachable again: %+v", decision)
 	}
 }
 
-// An answer from a node that is no home decides nothing: both would let the limit through.
+// A node that is not the home node must not grant anything: otherwise two nodes would each
+// admit the full limit.
 func TestNodeThatIsNotTheHomeGrantsNothing(t *testing.T) {
 	n, _ := newNetwork(t, "n1", "n2")
-	home := n.fill("a")
+	home := n.refillAccount("a")
 	other := map[string]string{"n1": "n2", "n2": "n1"}[home]
 	answers := n.nodes[other].Answer("n3", []Use{{Name: "a", Report: Report{Waiting: 1}}})
 	if !answers[0].NotHome || answers[0].Granted != 0 {
-		t.Errorf("answer %+v", answers[0])
+		t.Errorf("answer of a node that is not the home node: %+v", answers[0])
 	}
 }
 
 func TestCallerThatLeavesUsesNothing(t *testing.T) {
 	n, directory := newNetwork(t, "n1")
-	n.fill("a")
+	n.refillAccount("a")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 3 * burstOfTen {
 		n.nodes["n1"].Admit(ctx, "a", directory.ByName("a").Limit)
 	}
-	time.Sleep(2 * ReportPause)
+	time.Sleep(2 * ReportInterval)
 	admitted := 0
 	for range burstOfTen {
 		if n.nodes["n1"].Admit(context.Background(), "a", directory.ByName("a").Limit).Admitted {
@@ -176,14 +180,15 @@
 		}
 	}
 	if admitted < burstOfTen-1 {
-		t.Errorf("%d of %d admitted after callers that left", admitted, burstOfTen)
+		t.Errorf("%d of %d admitted after requests of disconnected clients", admitted, burstOfTen)
 	}
 }
 
-// What a node was given ahead lapses while its machine sleeps: the home counts on that.
+// Prefetched tokens must expire while the machine is suspended, because the home node reclaims
+// them during that time.
 func TestWhatWasGivenAheadLapsesInSleep(t *testing.T) {
 	n, directory := newNetwork(t, "n1", "n2")
-	home := n.fill("a")
+	home := n.refillAccount("a")
 	other := n.nodes[map[string]string{"n1": "n2", "n2": "n1"}[home]]
 	for _, node := range n.nodes {
 		node.SetTolerance(Tolerance{Window: time.Second, Slack: 4 * burstOfTen})
@@ -191,13 +196,13 @@
 	other.Admit(context.Background(), "a", directory.ByName("a").Limit)
 	other.mutex.Lock()
 	defer other.mutex.Unlock()
-	share := other.shares["a"]
-	if share.ahead == 0 || other.now() >= share.aheadUntil {
-		t.Fatal("nothing was given ahead")
+	quota := other.localQuotas["a"]
+	if quota.prefetched == 0 || other.now() >= quota.prefetchedUntil {
+		t.Fatal("no tokens were prefetched")
 	}
-	other.clock = func() time.Duration { return clock.Boot() + aheadFor }
-	if share.TakeAhead(other.now()) {
-		t.Error("the node uses what it was given before it slept, without asking")
+	other.clock = func() time.Duration { return clock.Boot() + prefetchTTL }
+	if quota.TakePrefetched(other.now()) {
+		t.Error("a token prefetched before the suspension is still used")
 	}
 }
 
--- a/internal/quota/observed.go
+++ b/internal/quota/observed.go
@@ -7,71 +7,72 @@
 	"github.com/micahaven/micahaven/internal/tenants"
 )
 
-// A limit may be observed instead of configured: whom it protects tells it to any node, at
-// any time, and may take it back. Nodes agree by the age of what they observed: each report
-// to the home carries the newest that the node knows, each answer the newest that the home
-// knows, and the newer one counts.
-
-// observedMemory is for how long an observation counts that nothing has confirmed. Whoever
-// is not asked in that time may have changed its mind, and says so with its next answer.
-const observedMemory = 2 * time.Minute
-
-// leastObservedRate is the least rate of an observed limit, in requests a second. Who wants
-// nothing at all is asked now and then all the same, because nothing but an answer tells
-// that it wants more.
-const leastObservedRate = 0.1
-
-// Observation is an observed limit.
+// A limit may be observed instead of configured: the server that it protects announces it in
+// its responses to any node at any time, and may withdraw it. Nodes converge on the newest
+// observation by its age: each report to the home node carries the newest observation of the
+// reporting node, each answer the newest one of the home node, and both sides keep the newer
+// one.
+
+// observationTTL is how long an observation holds without being confirmed. A server that
+// receives no requests for that long may have changed its limit, and announces the new one in
+// its next response.
+const observationTTL = 2 * time.Minute
+
+// minObservedRate is the lowest rate of an observed limit, in requests per second. A server
+// that announces a limit of zero still gets an occasional request, because only a response can
+// tell that it accepts more again.
+const minObservedRate = 0.1
+
+// Observation is an observed limit, as it is sent between nodes.
 type Observation struct {
-	// Limited is false if there is no limit any more.
+	// Limited is false if the server has withdrawn its limit.
 	Limited bool
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Age is how long ago that was observed.
+	// Age is the time since the observation.
 	Age time.Duration
 }
 
-// observation is what a node knows of an observed limit, by its own clock.
-type observation struct {
-	Limited bool
-	Rate    float64
-	at      time.Duration
+// timedObservation is an observed limit with the time of the observation by this node's clock.
+type timedObservation struct {
+	Limited    bool
+	Rate       float64
+	observedAt time.Duration
 }
 
-func (o observation) limit() tenants.Limit {
-	return tenants.Limit{Rate: max(o.Rate, leastObservedRate)}
+func (o timedObservation) limit() tenants.Limit {
+	return tenants.Limit{Rate: max(o.Rate, minObservedRate)}
 }
 
-func (o observation) aged(now time.Duration) Observation {
-	return Observation{Limited: o.Limited, Rate: o.Rate, Age: now - o.at}
+func (o timedObservation) withAge(now time.Duration) Observation {
+	return Observation{Limited: o.Limited, Rate: o.Rate, Age: now - o.observedAt}
 }
 
-// Observe takes in an observed limit, and reports whether it differs from what was known.
-func (l *Limiter) Observe(name string, told Observation) bool {
-	if !told.Limited && l.limited.Load() == 0 {
+// Observe records an observed limit, and reports whether it differs from the one known before.
+func (l *Limiter) Observe(name string, reported Observation) bool {
+	if !reported.Limited && l.inForce.Load() == 0 {
 		return false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.observe(l.now(), name, told)
+	return l.observe(l.now(), name, reported)
 }
 
-// Observed returns the observed limit of a name, in requests a second; false if it has none.
-func (l *Limiter) Observed(name string) (rate float64, limited bool) {
-	if l.limited.Load() == 0 {
+// Observed returns the observed limit of a name in requests per second; false if it has none.
+func (l *Limiter) Observed(name string) (rate float64, inForce bool) {
+	if l.inForce.Load() == 0 {
 		return 0, false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.observed[name]
-	if !known.Limited || l.now()-known.at > observedMemory {
+	if !known.Limited || l.now()-known.observedAt > observationTTL {
 		return 0, false
 	}
 	return known.limit().Rate, true
 }
 
-// AdmitObserved decides whether a request may go that counts for a name with an observed
-// limit, like Admit.
+// AdmitObserved decides like Admit on a request that counts against an observed limit.
 func (l *Limiter) AdmitObserved(ctx context.Context, name string) Decision {
 	rate, limited := l.Observed(name)
 	if !limited {
@@ -80,72 +81,73 @@
 	return l.Admit(ctx, name, tenants.Limit{Rate: rate})
 }
 
-// compare takes in what another node observed and returns the newest that is known.
-func (l *Limiter) compare(name string, told Observation) Observation {
+// mergeObservation records another node's observation and returns the newest one known.
+func (l *Limiter) mergeObservation(name string, reported Observation) Observation {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
-	l.observe(now, name, told)
+	l.observe(now, name, reported)
 	known, present := l.observed[name]
 	if !present {
-		return told
+		return reported
 	}
-	return known.aged(now)
+	return known.withAge(now)
 }
 
-// observation returns what is known of the observed limit of a name; nil if it was never
+// currentObservation returns what is known of the observed limit of a name; nil if it was never
 // observed. The caller holds the mutex.
-func (l *Limiter) observation(now time.Duration, name string) *Observation {
+func (l *Limiter) currentObservation(now time.Duration, name string) *Observation {
 	known, present := l.observed[name]
 	if !present {
 		return nil
 	}
-	told := known.aged(now)
-	return &told
+	current := known.withAge(now)
+	return &current
 }
 
-// observe takes in an observed limit unless a newer one is known, and reports whether it
-// differs from what was known. The caller holds the mutex.
-func (l *Limiter) observe(now time.Duration, name string, told Observation) bool {
+// observe records an observed limit unless a newer observation is known, and reports whether
+// the limit differs from the one known before. The caller holds the mutex.
+func (l *Limiter) observe(now time.Duration, name string, reported Observation) bool {
 	known, present := l.observed[name]
-	at := now - told.Age
-	if present && at <= known.at {
+	observedAt := now - reported.Age
+	if present && observedAt <= known.observedAt {
 		return false
 	}
-	if !present && !told.Limited {
+	if !present && !reported.Limited {
 		return false
 	}
-	newest := observation{Limited: told.Limited, Rate: told.Rate, at: at}
-	l.observed[name] = newest
-	if present && known.Limited == told.Limited && known.Rate == told.Rate {
+	latest := timedObservation{Limited: reported.Limited, Rate: reported.Rate, observedAt: observedAt}
+	l.observed[name] = latest
+	if present && known.Limited == reported.Limited && known.Rate == reported.Rate {
 		return false
 	}
-	l.forgetOld(now)
-	if share := l.shares[name]; share != nil && told.Limited {
-		share.SetLimit(newest.limit())
+	l.dropExpiredObservations(now)
+	if quota := l.localQuotas[name]; quota != nil && reported.Limited {
+		quota.SetLimit(latest.limit())
 	}
-	l.settleObserved(name, told.Limited)
+	l.applyObservedLimit(name, reported.Limited)
 	return true
 }
 
-// forgetOld drops observations that count no more. The caller holds the mutex.
-func (l *Limiter) forgetOld(now time.Duration) {
+// dropExpiredObservations drops observations older than observationTTL. The caller holds the
+// mutex.
+func (l *Limiter) dropExpiredObservations(now time.Duration) {
 	for name, known := range l.observed {
-		if now-known.at <= observedMemory {
+		if now-known.observedAt <= observationTTL {
 			continue
 		}
 		delete(l.observed, name)
-		delete(l.shares, name)
-		delete(l.homes, name)
+		delete(l.localQuotas, name)
+		delete(l.homeByName, name)
 	}
 }
 
-// settleObserved finds the home of a name whose limit has changed, and counts the limits in
-// force. The caller holds the mutex.
-func (l *Limiter) settleObserved(name string, limited bool) {
-	delete(l.homes, name)
-	if home, found := homeOf(name, l.candidates); found && limited {
-		l.homes[name] = home
+// applyObservedLimit selects the home node of a name whose limit has changed, and counts the
+// observed limits in force. The caller holds the mutex.
+func (l *Limiter) applyObservedLimit(name string, inForce bool) {
+	delete(l.homeByName, name)
+	if home, found := homeOf(name, l.homeCandidates); found && inForce {
+		l.homeByName[name] = home
 	}
 	count := int32(0)
 	for _, known := range l.observed {
@@ -153,6 +155,6 @@
 			count++
 		}
 	}
-	l.limited.Store(count)
-	l.own()
+	l.inForce.Store(count)
+	l.updateAccounts()
 }
--- a/internal/quota/observed_test.go
+++ b/internal/quota/observed_test.go
@@ -13,41 +13,43 @@
 	"github.com/micahaven/micahaven/internal/tenants"
 )
 
-// namedTolerance is what a server that names a limit bears.
-var namedTolerance = Tolerance{Window: 4 * time.Second, Over: 0.5, Slack: 5}
+// serverTolerance is the excess that a server which announces a limit can absorb.
+var serverTolerance = Tolerance{Window: 4 * time.Second, Over: 0.5, Slack: 5}
 
-// Named limits have no burst and are small: no window has more than a server bears, however
-// many nodes ask, and whether answers get lost or homes are replaced.
-func TestNoWindowExceedsANamedLimit(t *testing.T) {
+// Limits announced by servers have no burst and are small. No window may exceed what the server
+// can absorb, however many nodes send requests, and also if answers are lost or the home node
+// is replaced.
+func TestNoWindowExceedsAnObservedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := tenants.Limit{Rate: rapid.Float64Range(leastObservedRate, 60).Draw(t, "rate")}
+		limit := tenants.Limit{Rate: rapid.Float64Range(minObservedRate, 60).Draw(t, "rate")}
 		nodes := rapid.SampledFrom([]int{1, 3, 11, 70, 985}).Draw(t, "nodes")
 		demand := limit.Rate * rapid.Float64Range(0.5, 12).Draw(t, "demand")
-		trip := time.Duration(rapid.IntRange(1, 150).Draw(t, "trip")) * time.Millisecond
+		delay := time.Duration(rapid.IntRange(1, 150).Draw(t, "trip")) * time.Millisecond
 		losses := rapid.Float64Range(0, 0.3).Draw(t, "losses")
 		replacedAt := time.Duration(rapid.IntRange(0, 30).Draw(t, "replaced")) * time.Second
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		w := newWorld(nodes, limit, namedTolerance)
+		s := newSimulation(nodes, limit, serverTolerance)
 		const step = 5 * time.Millisecond
 		for now := time.Duration(0); now < 20*time.Second; now += step {
-			w.land(now)
+			s.deliverAnswers(now)
 			if now == replacedAt {
-				w.account = NewAccount(now, limit, namedTolerance)
-				for _, share := range w.shares {
-					share.HomeChanged()
+				s.account = NewAccount(now, limit, serverTolerance)
+				for _, quota := range s.localQuotas {
+					quota.HomeChanged()
 				}
 			}
 			for due := demand * step.Seconds(); due > random.Float64(); due-- {
-				w.request(now, random.IntN(nodes), trip, random.Float64() < losses)
+				s.request(now, random.IntN(nodes), delay, random.Float64() < losses)
 			}
 		}
-		if most := w.most(); float64(most) > w.allowed() {
-			t.Errorf("%d requests in a window, allowed %g", most, w.allowed())
+		if maxPerWindow := s.maxPerWindow(); float64(maxPerWindow) > s.allowedPerWindow() {
+			t.Errorf("%d requests in a window, allowed %g", maxPerWindow, s.allowedPerWindow())
 		}
 	})
 }
 
-// admitAll asks for a name at all nodes many times at once and returns how many went.
+// admitAll asks all nodes concurrently to admit requests, several times each, and returns how
+// many were admitted.
 func (n *network) admitAll(name string, times int) int64 {
 	var admitted atomic.Int64
 	var group sync.WaitGroup
@@ -64,8 +66,8 @@
 	return admitted.Load()
 }
 
-// Only one of three nodes heard the server name its limit, and it need not be the home: the
-// others ask nobody until they have heard it too, and then all of them share the limit.
+// Without an observed limit nodes admit everything and send no reports. Once all of them have
+// observed the limit they share it, whichever node is its home node.
 func TestNodesShareAnObservedLimit(t *testing.T) {
 	n, _ := newNetwork(t, "n1", "n2", "n3")
 	if got := n.admitAll("s", 10); got != 30 || n.calls.Load() != 0 {
@@ -73,19 +75,19 @@
 	}
 	for _, node := range n.nodes {
 		if !node.Observe("s", Observation{Limited: true, Rate: 2}) {
-			t.Error("a new limit is not new")
+			t.Error("the first observation of a limit is not reported as a change")
 		}
 		if node.Observe("s", Observation{Limited: true, Rate: 2}) {
-			t.Error("a known limit is new")
+			t.Error("an unchanged limit is reported as a change")
 		}
 	}
 	if got := n.admitAll("s", 20); got > 3 {
-		t.Errorf("%d admitted at once at a limit of 2 a second", got)
+		t.Errorf("%d requests admitted at once at a limit of 2 per second", got)
 	}
 }
 
-// A limit that was taken back ends everywhere: nodes that have not heard it learn it from the
-// home with their next request.
+// A withdrawn limit ends at all nodes: those that have not observed the withdrawal learn of it
+// from the home node with their next request.
 func TestObservedLimitEndsAtAllNodes(t *testing.T) {
 	n, _ := newNetwork(t, "n1", "n2", "n3")
 	for _, node := range n.nodes {
@@ -96,23 +98,24 @@
 	n.nodes[homeName(n, "s")].Observe("s", Observation{})
 	for name, node := range n.nodes {
 		if got := node.AdmitObserved(context.Background(), "s"); !got.Admitted {
-			t.Errorf("%s refuses after the limit has ended: %+v", name, got)
+			t.Errorf("%s refuses after the limit was withdrawn: %+v", name, got)
 		}
 		if _, limited := node.Observed("s"); limited {
-			t.Errorf("%s still knows a limit", name)
+			t.Errorf("%s still has a limit after it was withdrawn", name)
 		}
 	}
 }
 
 func homeName(n *network, name string) string {
 	for _, node := range n.nodes {
-		home, _ := homeOf(name, node.candidates)
+		home, _ := homeOf(name, node.homeCandidates)
 		return home.Name
 	}
 	return ""
 }
 
-// What is older counts no more, whichever way it comes.
+// An older observation never replaces a newer one, whether it was made locally or comes from
+// another node.
 func TestNewerObservationsCount(t *testing.T) {
 	n, _ := newNetwork(t, "n1")
 	node := n.nodes["n1"]
@@ -120,44 +123,45 @@
 	node.Observe("s", Observation{Limited: true, Rate: 9, Age: time.Second})
 	node.Observe("s", Observation{Age: time.Second})
 	if rate, limited := node.Observed("s"); !limited || rate != 5 {
-		t.Errorf("limit %v, %v, want the newest, 5", rate, limited)
+		t.Errorf("limit %v, %v, want the newest observation, 5", rate, limited)
 	}
-	known := node.compare("s", Observation{Limited: true, Rate: 7, Age: time.Minute})
-	if known.Rate != 5 || known.Age > time.Second {
-		t.Errorf("the home answers %+v to older news", known)
+	answer := node.mergeObservation("s", Observation{Limited: true, Rate: 7, Age: time.Minute})
+	if answer.Rate != 5 || answer.Age > time.Second {
+		t.Errorf("the home node answers an older observation with %+v, want the newer one", answer)
 	}
 }
 
-// A server that takes nothing gets a request now and then, whose answer tells when it does.
+// A server that announces a limit of zero still gets an occasional request, because only its
+// response can tell that it accepts more again.
 func TestServerThatTakesNothingIsAskedNowAndThen(t *testing.T) {
 	n, _ := newNetwork(t, "n1")
 	n.nodes["n1"].Observe("s", Observation{Limited: true})
-	if rate, limited := n.nodes["n1"].Observed("s"); !limited || rate != leastObservedRate {
-		t.Errorf("limit %v, %v, want %v", rate, limited, leastObservedRate)
+	if rate, limited := n.nodes["n1"].Observed("s"); !limited || rate != minObservedRate {
+		t.Errorf("limit %v, %v, want %v", rate, limited, minObservedRate)
 	}
 }
 
 func TestObservationsThatNothingConfirmsLapse(t *testing.T) {
 	n, _ := newNetwork(t, "n1")
 	node := n.nodes["n1"]
-	node.Observe("old", Observation{Limited: true, Rate: 1, Age: observedMemory - 20*time.Millisecond})
+	node.Observe("old", Observation{Limited: true, Rate: 1, Age: observationTTL - 20*time.Millisecond})
 	if _, limited := node.Observed("old"); !limited {
-		t.Error("forgotten too early")
+		t.Error("observation dropped before its TTL")
 	}
 	time.Sleep(40 * time.Millisecond)
 	if _, limited := node.Observed("old"); limited {
-		t.Error("still counts")
+		t.Error("observation still in force after its TTL")
 	}
 	node.Observe("new", Observation{Limited: true, Rate: 1})
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	if len(node.observed) != 1 || len(node.homes) != 2 {
-		t.Errorf("%d observations and %d homes are kept, want one, and that of the tenant besides", len(node.observed), len(node.homes))
+	if len(node.observed) != 1 || len(node.homeByName) != 2 {
+		t.Errorf("%d observations and %d home nodes are kept, want one observation, and its home node besides the tenant's", len(node.observed), len(node.homeByName))
 	}
 }
 
 func BenchmarkNoLimitObserved(b *testing.B) {
-	limiter := NewLimiter("servers", "n1", nil, NewKeeper(), namedTolerance, nil)
+	limiter := NewLimiter("servers", "n1", nil, NewKeeper(), serverTolerance, nil)
 	for b.Loop() {
 		limiter.AdmitObserved(context.Background(), "s")
 	}
--- a/internal/tenants/authorize.go
+++ b/internal/tenants/authorize.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// Verdict is what is decided of a request by the key that it shows.
+// Verdict is the result of authorizing a request by its API key.
 type Verdict int
 
-// The verdicts.
 const (
-	// Anonymous: the request needs no tenant.
+	// Anonymous means that the request needs no tenant.
 	Anonymous Verdict = iota
-	// Known: the request is its tenant's.
+	// Known means that the request belongs to a tenant.
 	Known
-	// KeyMissing: the request needs one key and shows none, or more than one.
+	// KeyMissing means that the request needs exactly one key and has none, or more than one.
 	KeyMissing
-	// KeyUnknown: no tenant has the key.
+	// KeyUnknown means that no tenant has the key.
 	KeyUnknown
-	// CopyOld: this node's copy of the configuration is too old to say.
+	// CopyOld means that this node's copy of the configuration is too old to decide.
 	CopyOld
 )
 
-// String names the verdict in logs and metrics.
+// String returns the name of the verdict in logs and metrics.
 func (v Verdict) String() string {
 	switch v {
 	case Anonymous:
@@ -35,27 +34,28 @@
 	}
 }
 
-// Freshness is how new a node's copy of the configuration is.
+// Freshness describes how recent a node's copy of the configuration is.
 type Freshness struct {
-	// Age is how long ago the copy surely had all; Confirmed is false if that is not known.
+	// Age is the time since the copy was last confirmed to be complete. Confirmed is false if
+	// it never was.
 	Age       time.Duration
 	Confirmed bool
 }
 
-// Staleness says what a node does that has had no news for long.
+// Staleness defines how a node decides on keys when its copy of the configuration is old.
 type Staleness struct {
-	// Unknown is the age from which a key that the copy lacks may be one that was added
-	// since, so that its caller is told to come back instead of that the key is wrong.
+	// Unknown is the age from which a key that the copy lacks may have been added since. The
+	// client is then told to retry, instead of that the key is wrong.
 	Unknown time.Duration
-	// Revoked is the age from which a key that the copy has may have been taken away, so
-	// that nobody gets in by it; 0 if keys stay good until the node hears otherwise.
+	// Revoked is the age from which a key in the copy may have been revoked, so that no key is
+	// accepted any more; 0 if keys stay valid until the node learns otherwise.
 	Revoked time.Duration
 }
 
-// Authorize decides on a request from the keys that it shows. open is true if its route
-// needs no key.
-func (d *Directory) Authorize(open bool, keys []string, freshness Freshness, staleness Staleness) (*Tenant, Verdict) {
-	if open || d.Empty() {
+// Authorize decides on a request by the keys in its headers. public is true if its route needs
+// no key.
+func (d *Directory) Authorize(public bool, keys []string, freshness Freshness, staleness Staleness) (*Tenant, Verdict) {
+	if public || d.Empty() {
 		return nil, Anonymous
 	}
 	if len(keys) != 1 || keys[0] == "" {
--- a/internal/tenants/directory.go
+++ b/internal/tenants/directory.go
@@ -1,6 +1,6 @@
-// Package tenants knows whose request a request is: the operators' tenants, the keys that
-// their callers show, and what each tenant may ask for. It is pure; a Directory is checked
-// whole when it is built and never changes.
+// Package tenants identifies the tenant of a request by its API key, and holds the priority and
+// rate limit of each tenant. It does no I/O. A Directory is validated as a whole when it is
+// built and never changes.
 package tenants
 
 import (
@@ -9,50 +9,50 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrInvalid means that tenants cannot be used. The message names the field, its value and
-// what is allowed.
+// ErrInvalid means that the tenants in a configuration are invalid. The message names the
+// field, its value and what is allowed.
 var ErrInvalid = errors.New("invalid tenants")
 
-// Limit is how much a tenant may ask for over all nodes together.
+// Limit is a tenant's rate limit over all nodes together.
 type Limit struct {
-	// Rate is in requests a second; 0 means that there is no limit.
+	// Rate is in requests per second; 0 means no limit.
 	Rate float64
-	// Burst is how many requests above the rate may come at once.
+	// Burst is how many requests above the rate may arrive at once.
 	Burst float64
 }
 
 // Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool { return l.Rate == 0 }
 
-// Tenant is one of those who share the system.
+// Tenant is a group of clients that share a priority and a rate limit.
 type Tenant struct {
 	Name string
-	// Priority goes before that of the route if the tenant has one: 0 is the most urgent.
+	// Priority, if set, overrides that of the route; 0 is the most urgent.
 	Priority *int
 	Limit    Limit
 }
 
-// Spec is a tenant as the operators wrote it.
+// Spec is a tenant as written in the configuration.
 type Spec struct {
 	Tenant
-	// Keys are what callers of the tenant show.
+	// Keys are the API keys of the tenant's clients.
 	Keys []string
 }
 
-// digest stands for a key. The directory holds no keys, so that none can be read out of a
-// node, and how long a look-up takes says nothing of how much of a key was guessed.
-type digest [sha256.Size]byte
+// keyDigest is the hash of a key. The directory holds no keys, so that none can be read from a
+// node's memory, and the time of a look-up does not reveal how much of a key was guessed
+// correctly.
+type keyDigest [sha256.Size]byte
 
-// Directory finds tenants by their callers' keys. It is immutable and safe for concurrent
-// use.
+// Directory finds tenants by API key. It is immutable and safe for concurrent use.
 type Directory struct {
 	byName map[string]*Tenant
-	byKey  map[digest]*Tenant
+	byKey  map[keyDigest]*Tenant
 }
 
-// NewDirectory checks tenants as a whole and indexes them.
+// NewDirectory validates all tenants and returns a directory of them.
 func NewDirectory(specs []Spec) (*Directory, error) {
-	d := &Directory{byName: make(map[string]*Tenant, len(specs)), byKey: make(map[digest]*Tenant, len(specs))}
+	d := &Directory{byName: make(map[string]*Tenant, len(specs)), byKey: make(map[keyDigest]*Tenant, len(specs))}
 	for index := range specs {
 		if err := d.add(&specs[index]); err != nil {
 			return nil, err
@@ -67,25 +67,25 @@
 	case tenant.Name == "":
 		return invalid("tenant name", tenant.Name, "not empty")
 	case d.byName[tenant.Name] != nil:
-		return invalid("tenant name", tenant.Name, "one tenant of each name")
+		return invalid("tenant name", tenant.Name, "unique names")
 	case !(tenant.Limit.Rate >= 0):
 		return invalid("tenant "+tenant.Name+" rate", tenant.Limit.Rate, "0 or more")
 	case !(tenant.Limit.Burst >= 0):
 		return invalid("tenant "+tenant.Name+" burst", tenant.Limit.Burst, "0 or more")
 	case tenant.Limit.Burst > 0 && tenant.Limit.Unlimited():
-		return invalid("tenant "+tenant.Name+" burst", tenant.Limit.Burst, "0, as there is no rate")
+		return invalid("tenant "+tenant.Name+" burst", tenant.Limit.Burst, "0 without a rate")
 	}
 	d.byName[tenant.Name] = &tenant
 	for number, key := range spec.Keys {
 		if key == "" {
-			return errors.Wrapf(ErrInvalid, "field tenant %s key %d: empty, allowed: not empty", tenant.Name, number)
+			return errors.Wrapf(ErrInvalid, "field tenant %s key %d: empty, allowed: a non-empty key", tenant.Name, number)
 		}
-		of := digest(sha256.Sum256([]byte(key)))
-		if other := d.byKey[of]; other != nil && other != &tenant {
-			// The key itself stays out of errors and logs.
-			return errors.Wrapf(ErrInvalid, "field tenant %s key %d: also of tenant %s, allowed: keys of one tenant", tenant.Name, number, other.Name)
+		sum := keyDigest(sha256.Sum256([]byte(key)))
+		if other := d.byKey[sum]; other != nil && other != &tenant {
+			// The message must not contain the key.
+			return errors.Wrapf(ErrInvalid, "field tenant %s key %d: also a key of tenant %s, allowed: a key of one tenant only", tenant.Name, number, other.Name)
 		}
-		d.byKey[of] = &tenant
+		d.byKey[sum] = &tenant
 	}
 	return nil
 }
@@ -94,16 +94,16 @@
 	return errors.Wrapf(ErrInvalid, "field %s: %v, allowed: %s", field, value, allowed)
 }
 
-// Empty reports whether there are no tenants, so that no request needs a key.
+// Empty reports whether there are no tenants, in which case no request needs a key.
 func (d *Directory) Empty() bool { return len(d.byName) == 0 }
 
-// Find returns the tenant that a key is of, or nil.
+// Find returns the tenant that has a key, or nil.
 func (d *Directory) Find(key string) *Tenant { return d.byKey[sha256.Sum256([]byte(key))] }
 
-// ByName returns a tenant, or nil.
+// ByName returns the tenant with a name, or nil.
 func (d *Directory) ByName(name string) *Tenant { return d.byName[name] }
 
-// Limits returns the limits of the tenants that have one, by name.
+// Limits returns the limits of the tenants that have one, by tenant name.
 func (d *Directory) Limits() map[string]Limit {
 	limits := make(map[string]Limit)
 	for name, tenant := range d.byName {
--- a/internal/tenants/tenants_test.go
+++ b/internal/tenants/tenants_test.go
@@ -29,10 +29,10 @@
 	} {
 		_, err := tenants.NewDirectory(test.specs)
 		if !errors.Is(err, tenants.ErrInvalid) || !strings.Contains(err.Error(), test.field) {
-			t.Errorf("%s: %v, want an error that names %q", name, err, test.field)
+			t.Errorf("%s: error %v, want ErrInvalid naming %q", name, err, test.field)
 		}
 		if err != nil && strings.Contains(err.Error(), "secret") {
-			t.Errorf("%s: the error has the key: %v", name, err)
+			t.Errorf("%s: the error contains the key: %v", name, err)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	} {
 		tenant, verdict := test.directory.Authorize(test.open, test.keys, test.freshness, test.staleness)
 		if verdict != test.verdict || (tenant == nil) != (test.tenant == "") || (tenant != nil && tenant.Name != test.tenant) {
-			t.Errorf("%s: %v, tenant %v; want %v, %q", name, verdict, tenant, test.verdict, test.tenant)
+			t.Errorf("%s: verdict %v, tenant %v; want %v, %q", name, verdict, tenant, test.verdict, test.tenant)
 		}
 	}
 }
