--- a/internal/ingress/tenancy.go
+++ b/internal/ingress/tenancy.go
@@ -35,7 +35,7 @@
 func defaultTenancy() Tenancy {
 	return Tenancy{
 		Freshness: func() tenants.Freshness { return tenants.Freshness{Confirmed: true} },
-		Staleness: tenants.Staleness{Unknown: time.Hour},
+		Staleness: tenants.Staleness{UnknownAfter: time.Hour},
 	}
 }
 
@@ -52,9 +52,9 @@
 	tenant, verdict := table.Tenants().Authorize(route.Public, incoming.Header.Values(h.headers.Credential), freshness, h.tenancy.Staleness)
 	authorizationsTotal.WithLabelValues(verdict.String()).Inc()
 	switch verdict {
-	case tenants.Anonymous, tenants.Known:
+	case tenants.Anonymous, tenants.Authorized:
 		return tenant, true
-	case tenants.CopyOld:
+	case tenants.StaleCopy:
 		writeRefusal(writer, http.StatusServiceUnavailable, "this node has not heard for a while which keys are in force", notReadyRetryAfter)
 	default:
 		http.Error(writer, verdict.String(), http.StatusUnauthorized)
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -24,8 +24,8 @@
 	// broadcasterCount is the number of nodes that repeat a confirmed suspect to the others. It
 	// is more than one because the first node may be the one that has missed it.
 	broadcasterCount = 2
-	// TellAgainEvery is the interval between repeated broadcasts of confirmed suspects.
-	TellAgainEvery = 2 * time.Second
+	// RebroadcastInterval is the interval between repeated broadcasts of confirmed suspects.
+	RebroadcastInterval = 2 * time.Second
 )
 
 // Broadcast sends suspects to the other nodes.
@@ -60,8 +60,8 @@
 	}
 }
 
-// Follow sets the names of the registered nodes.
-func (g *Guard) Follow(nodes []string) {
+// SetNodes sets the names of the registered nodes.
+func (g *Guard) SetNodes(nodes []string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.nodes = nodes
@@ -198,8 +198,8 @@
 	g.logger.Info(text, zap.String("digest", hex.EncodeToString(suspect.Digest[:])), zap.Strings("servers", suspect.Lives))
 }
 
-// Take merges suspects received from another node.
-func (g *Guard) Take(suspects []Suspect) {
+// Receive merges suspects received from another node.
+func (g *Guard) Receive(suspects []Suspect) {
 	now := time.Now()
 	g.mutex.Lock()
 	var changed []Suspect
@@ -217,9 +217,9 @@
 	}
 }
 
-// TellAgain repeats the confirmed suspects that this node is responsible for to the other
+// Rebroadcast repeats the confirmed suspects that this node is responsible for to the other
 // nodes, and drops expired ones. It must be called at the interval for repeated broadcasts.
-func (g *Guard) TellAgain() {
+func (g *Guard) Rebroadcast() {
 	if g.suspectCount.Load() == 0 {
 		return
 	}
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -25,13 +25,13 @@
 		nodes[name] = NewGuard(name, func(suspects []Suspect) {
 			for other, node := range nodes {
 				if _, hearsNothing := cut.Load(other); other != name && !hearsNothing {
-					node.Take(suspects)
+					node.Receive(suspects)
 				}
 			}
 		}, zap.NewNop())
 	}
 	for _, node := range nodes {
-		node.Follow(names)
+		node.SetNodes(names)
 	}
 	return nodes, cut
 }
@@ -86,7 +86,7 @@
 		}
 		cut.Delete(missed)
 		for _, node := range nodes {
-			node.TellAgain()
+			node.Rebroadcast()
 		}
 		if _, refused := nodes[missed].Refused(asked(1)); !refused {
 			t.Errorf("%s does not refuse the request after the repeated broadcast", missed)
--- a/internal/quota/accountstore.go
+++ b/internal/quota/accountstore.go
@@ -16,8 +16,8 @@
 	accounts map[string]*Account
 }
 
-// NewKeeper returns an empty account store.
-func NewKeeper() *AccountStore {
+// NewAccountStore returns an empty account store.
+func NewAccountStore() *AccountStore {
 	return &AccountStore{clock: clock.Boot, accounts: make(map[string]*Account)}
 }
 
--- a/internal/quota/homeclient.go
+++ b/internal/quota/homeclient.go
@@ -108,7 +108,7 @@
 
 // collectReports returns the reports to send, the requests that wait for their answers by name
 // of the limit, and the current time.
-func (c *homeClient) collectReports() ([]Use, map[string][]*waiter, time.Duration) {
+func (c *homeClient) collectReports() ([]NamedReport, map[string][]*waiter, time.Duration) {
 	c.limiter.mutex.Lock()
 	defer c.limiter.mutex.Unlock()
 	now := c.limiter.now()
@@ -128,21 +128,21 @@
 	for name := range waiters {
 		names[name] = true
 	}
-	reports := make([]Use, 0, len(names))
+	reports := make([]NamedReport, 0, len(names))
 	for name := range names {
 		quota := c.limiter.localQuotas[name]
 		if quota == nil {
 			resolve(waiters[name], admitUnlimited)
 			continue
 		}
-		reports = append(reports, Use{Name: name, Report: quota.Report(now, len(waiters[name])), Observed: c.limiter.currentObservation(now, name)})
+		reports = append(reports, NamedReport{Name: name, Report: quota.Report(now, len(waiters[name])), Observed: c.limiter.currentObservation(now, name)})
 	}
 	return reports, waiters, now
 }
 
 // handleAnswers applies the home node's answers and decides on the requests that waited for
 // them.
-func (c *homeClient) handleAnswers(reports []Use, waiters map[string][]*waiter, sentAt time.Duration, answers []Answer, err error) {
+func (c *homeClient) handleAnswers(reports []NamedReport, waiters map[string][]*waiter, sentAt time.Duration, answers []Answer, err error) {
 	l := c.limiter
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -29,8 +29,8 @@
 	maxWait = 100 * time.Millisecond
 )
 
-// Use is a report on one named limit: that of a tenant, or of a server that announced one.
-type Use struct {
+// NamedReport is a report on one named limit: that of a tenant, or of a server that announced one.
+type NamedReport struct {
 	Name string
 	Report
 	// Observed is this node's latest observation of the limit; nil for a configured limit,
@@ -47,11 +47,11 @@
 	Observed *Observation
 }
 
-// Caller sends reports to other nodes.
-type Caller interface {
+// Transport sends reports to other nodes.
+type Transport interface {
 	// Report returns one answer per report. An error means that the home node may not have
 	// processed the reports.
-	Report(ctx context.Context, address string, uses []Use) ([]Answer, error)
+	Report(ctx context.Context, address string, uses []NamedReport) ([]Answer, error)
 }
 
 // Decision is the decision on one request.
@@ -70,7 +70,7 @@
 type Limiter struct {
 	kind         string
 	self         string
-	transport    Caller
+	transport    Transport
 	accountStore *AccountStore
 	logger       *zap.Logger
 	// clock keeps running while the machine is suspended, because prefetched tokens expire at
@@ -94,7 +94,7 @@
 
 // NewLimiter returns a node's limiter for limits of one kind, which labels its metrics and
 // logs. accountStore holds the accounts of the limits for which this node is the home node.
-func NewLimiter(kind, self string, transport Caller, accountStore *AccountStore, tolerance Tolerance, logger *zap.Logger) *Limiter {
+func NewLimiter(kind, self string, transport Transport, accountStore *AccountStore, tolerance Tolerance, logger *zap.Logger) *Limiter {
 	return &Limiter{
 		kind: kind, self: self, transport: transport, accountStore: accountStore, tolerance: tolerance, logger: logger, clock: clock.Boot, startedAt: clock.Boot(),
 		observed:   make(map[string]timedObservation),
@@ -111,9 +111,9 @@
 	l.updateAccounts()
 }
 
-// Follow replaces the configured limits and the registered nodes. configured has no entries for
+// Update replaces the configured limits and the registered nodes. configured has no entries for
 // names without a limit.
-func (l *Limiter) Follow(configured map[string]tenants.Limit, nodes []Node) {
+func (l *Limiter) Update(configured map[string]tenants.Limit, nodes []Node) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.configured, l.nodes, l.homeCandidates = configured, nodes, largestByCPUShare(nodes, maxHomes)
@@ -287,7 +287,7 @@
 }
 
 // sendReports sends reports to a home node, which may be this node.
-func (l *Limiter) sendReports(home Node, reports []Use) ([]Answer, error) {
+func (l *Limiter) sendReports(home Node, reports []NamedReport) ([]Answer, error) {
 	if home.Name == l.self {
 		return l.Answer(l.self, reports), nil
 	}
@@ -297,7 +297,7 @@
 }
 
 // Answer processes another node's reports, as the home node of the limits.
-func (l *Limiter) Answer(node string, reports []Use) []Answer {
+func (l *Limiter) Answer(node string, reports []NamedReport) []Answer {
 	answers := make([]Answer, 0, len(reports))
 	for _, report := range reports {
 		answers = append(answers, l.handleReport(node, report))
@@ -305,7 +305,7 @@
 	return answers
 }
 
-func (l *Limiter) handleReport(node string, report Use) Answer {
+func (l *Limiter) handleReport(node string, report NamedReport) Answer {
 	var observed *Observation
 	if report.Observed != nil {
 		known := l.mergeObservation(report.Name, *report.Observed)
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -27,8 +27,8 @@
 	from string
 }
 
-// Report implements Caller.
-func (p networkTransport) Report(_ context.Context, address string, uses []Use) ([]Answer, error) {
+// Report implements Transport.
+func (p networkTransport) Report(_ context.Context, address string, uses []NamedReport) ([]Answer, error) {
 	p.calls.Add(1)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -57,11 +57,11 @@
 	n := &network{nodes: make(map[string]*Limiter)}
 	var nodes []Node
 	for _, name := range names {
-		n.nodes[name] = NewLimiter("tenants", name, networkTransport{n, name}, NewKeeper(), Tolerance{Window: time.Second}, zap.NewNop())
+		n.nodes[name] = NewLimiter("tenants", name, networkTransport{n, name}, NewAccountStore(), Tolerance{Window: time.Second}, zap.NewNop())
 		nodes = append(nodes, Node{Name: name, Address: name, Share: 1})
 	}
 	for _, node := range n.nodes {
-		node.Follow(directory.Limits(), nodes)
+		node.Update(directory.Limits(), nodes)
 	}
 	return n, directory
 }
@@ -158,7 +158,7 @@
 	n, _ := newNetwork(t, "n1", "n2")
 	home := n.refillAccount("a")
 	other := map[string]string{"n1": "n2", "n2": "n1"}[home]
-	answers := n.nodes[other].Answer("n3", []Use{{Name: "a", Report: Report{Waiting: 1}}})
+	answers := n.nodes[other].Answer("n3", []NamedReport{{Name: "a", Report: Report{Waiting: 1}}})
 	if !answers[0].NotHome || answers[0].Granted != 0 {
 		t.Errorf("answer of a node that is not the home node: %+v", answers[0])
 	}
@@ -211,8 +211,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	limiter := NewLimiter("tenants", "n1", nil, NewKeeper(), Tolerance{Window: time.Second, Over: 0.1}, zap.NewNop())
-	limiter.Follow(directory.Limits(), []Node{{Name: "n1", Share: 1}})
+	limiter := NewLimiter("tenants", "n1", nil, NewAccountStore(), Tolerance{Window: time.Second, Over: 0.1}, zap.NewNop())
+	limiter.Update(directory.Limits(), []Node{{Name: "n1", Share: 1}})
 	tenant := directory.ByName("a")
 	for b.Loop() {
 		limiter.Admit(context.Background(), tenant.Name, tenant.Limit)
--- a/internal/quota/observed_test.go
+++ b/internal/quota/observed_test.go
@@ -161,7 +161,7 @@
 }
 
 func BenchmarkNoLimitObserved(b *testing.B) {
-	limiter := NewLimiter("servers", "n1", nil, NewKeeper(), serverTolerance, nil)
+	limiter := NewLimiter("servers", "n1", nil, NewAccountStore(), serverTolerance, nil)
 	for b.Loop() {
 		limiter.AdmitObserved(context.Background(), "s")
 	}
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -36,7 +36,7 @@
 			Age: time.Duration(told.GetAgeMicros()) * time.Microsecond, Cleared: told.GetCleared(),
 		})
 	}
-	p.guard.Take(suspects)
+	p.guard.Receive(suspects)
 	if report.GetForward() {
 		p.toFollowers(crashEnvelope(suspects, false))
 	}
@@ -51,5 +51,5 @@
 	for name := range current.Nodes.All() {
 		names = append(names, name)
 	}
-	p.guard.Follow(names)
+	p.guard.SetNodes(names)
 }
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -129,8 +129,8 @@
 		views: n.views, mirror: n.mirror, dispatcher: n.dispatcher, orders: platform.Orders, logger: logger,
 	}
 	n.takePartInHomes(client)
-	n.peers.quotas = quota.NewLimiter("tenants", self.Name, quotaCaller{client: client}, quota.NewKeeper(), settings.tolerance(), logger)
-	n.peers.serverLimits = quota.NewLimiter("servers", self.Name, quotaCaller{client: client, servers: true}, quota.NewKeeper(), serverTolerance(), logger)
+	n.peers.quotas = quota.NewLimiter("tenants", self.Name, quotaCaller{client: client}, quota.NewAccountStore(), settings.tolerance(), logger)
+	n.peers.serverLimits = quota.NewLimiter("servers", self.Name, quotaCaller{client: client, servers: true}, quota.NewAccountStore(), serverTolerance(), logger)
 	n.dispatcher.SetServerLimits(n.peers.serverLimits)
 	n.dispatcher.SetSignalFunc(n.peers.serverSignalled)
 	n.peers.guard = poison.NewGuard(self.Name, n.peers.tellCrashes, logger)
@@ -263,7 +263,7 @@
 	})
 	actor(func(ctx context.Context) error { return periodic.Run(ctx, heldInterval, n.logHeld()) })
 	actor(func(ctx context.Context) error {
-		return periodic.Run(ctx, poison.TellAgainEvery, func(context.Context) { n.peers.guard.TellAgain() })
+		return periodic.Run(ctx, poison.RebroadcastInterval, func(context.Context) { n.peers.guard.Rebroadcast() })
 	})
 	actor(n.peers.reportLoad)
 	actor(n.peers.exchangeState)
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -15,15 +15,15 @@
 // errNoAnswer means that a node did not answer reports of quotas as it should.
 var errNoAnswer = errors.New("no answer to a report of quotas")
 
-// quotaCaller reports to other nodes. It implements quota.Caller.
+// quotaCaller reports to other nodes. It implements quota.Transport.
 type quotaCaller struct {
 	client *transport.Client
 	// servers is true if the limits are those that servers name.
 	servers bool
 }
 
-// Report implements quota.Caller.
-func (c quotaCaller) Report(ctx context.Context, address string, uses []quota.Use) ([]quota.Answer, error) {
+// Report implements quota.Transport.
+func (c quotaCaller) Report(ctx context.Context, address string, uses []quota.NamedReport) ([]quota.Answer, error) {
 	report := &wire.QuotaReport{Servers: c.servers, Uses: make([]*wire.QuotaUse, 0, len(uses))}
 	for _, use := range uses {
 		report.Uses = append(report.Uses, &wire.QuotaUse{
@@ -49,9 +49,9 @@
 
 // answerQuotas answers another node's report.
 func (p *peers) answerQuotas(from *wire.Hello, report *wire.QuotaReport) *wire.Envelope {
-	uses := make([]quota.Use, 0, len(report.GetUses()))
+	uses := make([]quota.NamedReport, 0, len(report.GetUses()))
 	for _, use := range report.GetUses() {
-		uses = append(uses, quota.Use{Name: use.GetName(), Observed: decodeObservation(use.GetObserved()), Report: quota.Report{
+		uses = append(uses, quota.NamedReport{Name: use.GetName(), Observed: decodeObservation(use.GetObserved()), Report: quota.Report{
 			Used: int(use.GetUsed()), Waiting: int(use.GetWaiting()), Wish: int(use.GetWish()),
 		}})
 	}
@@ -94,10 +94,10 @@
 	for _, node := range current.Nodes.All() {
 		nodes = append(nodes, quota.Node{Name: node.Name, Address: node.Address, Process: node.Process, Share: node.Share})
 	}
-	p.serverLimits.Follow(nil, nodes)
+	p.serverLimits.Update(nil, nodes)
 	directory := current.Table.Tenants()
 	if directory.Empty() && p.quotas.Unused() {
 		return
 	}
-	p.quotas.Follow(directory.Limits(), nodes)
+	p.quotas.Update(directory.Limits(), nodes)
 }
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -201,9 +201,9 @@
 
 // staleness returns what a node does with keys that has had no news.
 func (s *Settings) staleness() tenants.Staleness {
-	staleness := tenants.Staleness{Unknown: time.Duration(unknownPart * float64(s.ConfigurationMillis) * float64(time.Millisecond))}
+	staleness := tenants.Staleness{UnknownAfter: time.Duration(unknownPart * float64(s.ConfigurationMillis) * float64(time.Millisecond))}
 	if s.Revocation.Strict {
-		staleness.Revoked = time.Duration(strictPart * float64(s.Revocation.Millis) * float64(time.Millisecond))
+		staleness.RevokedAfter = time.Duration(strictPart * float64(s.Revocation.Millis) * float64(time.Millisecond))
 	}
 	return staleness
 }
--- a/internal/tenants/authorize.go
+++ b/internal/tenants/authorize.go
@@ -8,14 +8,14 @@
 const (
 	// Anonymous means that the request needs no tenant.
 	Anonymous Verdict = iota
-	// Known means that the request belongs to a tenant.
-	Known
+	// Authorized means that the request belongs to a tenant.
+	Authorized
 	// KeyMissing means that the request needs exactly one key and has none, or more than one.
 	KeyMissing
 	// KeyUnknown means that no tenant has the key.
 	KeyUnknown
-	// CopyOld means that this node's copy of the configuration is too old to decide.
-	CopyOld
+	// StaleCopy means that this node's copy of the configuration is too old to decide.
+	StaleCopy
 )
 
 // String returns the name of the verdict in logs and metrics.
@@ -23,7 +23,7 @@
 	switch v {
 	case Anonymous:
 		return "anonymous"
-	case Known:
+	case Authorized:
 		return "known"
 	case KeyMissing:
 		return "key missing"
@@ -44,12 +44,12 @@
 
 // Staleness defines how a node decides on keys when its copy of the configuration is old.
 type Staleness struct {
-	// Unknown is the age from which a key that the copy lacks may have been added since. The
-	// client is then told to retry, instead of that the key is wrong.
-	Unknown time.Duration
-	// Revoked is the age from which a key in the copy may have been revoked, so that no key is
-	// accepted any more; 0 if keys stay valid until the node learns otherwise.
-	Revoked time.Duration
+	// UnknownAfter is the age from which a key that the copy lacks may have been added since.
+	// The client is then told to retry, instead of that the key is wrong.
+	UnknownAfter time.Duration
+	// RevokedAfter is the age from which a key in the copy may have been revoked, so that no
+	// key is accepted any more; 0 if keys stay valid until the node learns otherwise.
+	RevokedAfter time.Duration
 }
 
 // Authorize decides on a request by the keys in its headers. public is true if its route needs
@@ -62,15 +62,15 @@
 		return nil, KeyMissing
 	}
 	olderThan := func(age time.Duration) bool { return !freshness.Confirmed || freshness.Age > age }
-	if staleness.Revoked > 0 && olderThan(staleness.Revoked) {
-		return nil, CopyOld
+	if staleness.RevokedAfter > 0 && olderThan(staleness.RevokedAfter) {
+		return nil, StaleCopy
 	}
 	tenant := d.Find(keys[0])
 	switch {
 	case tenant != nil:
-		return tenant, Known
-	case olderThan(staleness.Unknown):
-		return nil, CopyOld
+		return tenant, Authorized
+	case olderThan(staleness.UnknownAfter):
+		return nil, StaleCopy
 	default:
 		return nil, KeyUnknown
 	}
--- a/internal/tenants/tenants_test.go
+++ b/internal/tenants/tenants_test.go
@@ -47,8 +47,8 @@
 		t.Fatal(err)
 	}
 	fresh, old := tenants.Freshness{Confirmed: true}, tenants.Freshness{Age: 10 * time.Second, Confirmed: true}
-	lenient := tenants.Staleness{Unknown: 2 * time.Second}
-	strict := tenants.Staleness{Unknown: 2 * time.Second, Revoked: 5 * time.Second}
+	lenient := tenants.Staleness{UnknownAfter: 2 * time.Second}
+	strict := tenants.Staleness{UnknownAfter: 2 * time.Second, RevokedAfter: 5 * time.Second}
 	for name, test := range map[string]struct {
 		directory *tenants.Directory
 		open      bool
@@ -58,17 +58,17 @@
 		tenant    string
 		verdict   tenants.Verdict
 	}{
-		"known":                    {directory, false, []string{"two"}, fresh, lenient, "a", tenants.Known},
-		"other tenant":             {directory, false, []string{"three"}, fresh, lenient, "b", tenants.Known},
+		"known":                    {directory, false, []string{"two"}, fresh, lenient, "a", tenants.Authorized},
+		"other tenant":             {directory, false, []string{"three"}, fresh, lenient, "b", tenants.Authorized},
 		"missing":                  {directory, false, nil, fresh, lenient, "", tenants.KeyMissing},
 		"empty":                    {directory, false, []string{""}, fresh, lenient, "", tenants.KeyMissing},
 		"twice":                    {directory, false, []string{"one", "one"}, fresh, lenient, "", tenants.KeyMissing},
 		"unknown":                  {directory, false, []string{"One"}, fresh, lenient, "", tenants.KeyUnknown},
-		"unknown, perhaps added":   {directory, false, []string{"new"}, old, lenient, "", tenants.CopyOld},
-		"unknown, never confirmed": {directory, false, []string{"new"}, tenants.Freshness{}, lenient, "", tenants.CopyOld},
-		"known while out of touch": {directory, false, []string{"one"}, old, lenient, "a", tenants.Known},
-		"perhaps taken away":       {directory, false, []string{"one"}, old, strict, "", tenants.CopyOld},
-		"strict and fresh":         {directory, false, []string{"one"}, fresh, strict, "a", tenants.Known},
+		"unknown, perhaps added":   {directory, false, []string{"new"}, old, lenient, "", tenants.StaleCopy},
+		"unknown, never confirmed": {directory, false, []string{"new"}, tenants.Freshness{}, lenient, "", tenants.StaleCopy},
+		"known while out of touch": {directory, false, []string{"one"}, old, lenient, "a", tenants.Authorized},
+		"perhaps taken away":       {directory, false, []string{"one"}, old, strict, "", tenants.StaleCopy},
+		"strict and fresh":         {directory, false, []string{"one"}, fresh, strict, "a", tenants.Authorized},
 		"public route":             {directory, true, []string{"none"}, fresh, strict, "", tenants.Anonymous},
 		"public route while old":   {directory, true, nil, old, strict, "", tenants.Anonymous},
 		"no tenants":               {none, false, nil, old, strict, "", tenants.Anonymous},
@@ -87,7 +87,7 @@
 	}
 	keys, fresh := []string{"x42q492cqf75rjvz48wu"}, tenants.Freshness{Confirmed: true}
 	for b.Loop() {
-		if _, verdict := directory.Authorize(false, keys, fresh, tenants.Staleness{Unknown: time.Second}); verdict != tenants.Known {
+		if _, verdict := directory.Authorize(false, keys, fresh, tenants.Staleness{UnknownAfter: time.Second}); verdict != tenants.Authorized {
 			b.Fatal(verdict)
 		}
 	}
