--- a/internal/certificates/certificates.go
+++ b/internal/certificates/certificates.go
@@ -1,5 +1,5 @@
-// Package certificates keeps a node's TLS certificate and authority in step with
-// their files, so that both can be replaced without a restart.
+// Package certificates loads a node's TLS certificate and certificate authority and reloads
+// them when their files change, so that both can be replaced without a restart.
 package certificates
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files names a certificate with its key and the authority that signs those of
-// all nodes, as PEM files.
+// Files holds the paths of the PEM files with the node's certificate, its private key, and
+// the authority that signs the certificates of all nodes.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// checkInterval is how often the files are looked at, at most.
+// checkInterval is the minimum interval between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Keeper holds what the files contained when they were last in order. It is safe
-// for concurrent use.
-type Keeper struct {
+// Reloader holds the content of the files as of the last successful load. It is safe for
+// concurrent use.
+type Reloader struct {
 	files Files
 
 	mutex       sync.Mutex
@@ -35,120 +35,123 @@
 	checked     time.Time
 }
 
-// Load reads the files.
-func Load(files Files) (*Keeper, error) {
-	keeper := &Keeper{files: files}
-	if err := keeper.read(); err != nil {
+// Load reads the files. It fails if any of them cannot be used.
+func Load(files Files) (*Reloader, error) {
+	reloader := &Reloader{files: files}
+	if err := reloader.read(); err != nil {
 		return nil, err
 	}
-	return keeper, nil
+	return reloader, nil
 }
 
-// Server returns a configuration that asks callers for a certificate of the
-// authority.
-func (k *Keeper) Server() *tls.Config {
+// Server returns a server configuration for mutual TLS. It requires a client certificate
+// signed by the authority.
+func (r *Reloader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:       tls.VersionTLS13,
-		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.current(), nil },
+		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return r.currentCertificate(), nil },
 		ClientAuth:       tls.RequireAnyClientCert,
-		VerifyConnection: k.verify(x509.ExtKeyUsageClientAuth),
+		VerifyConnection: r.verify(x509.ExtKeyUsageClientAuth),
 	}
 }
 
-// ServerOnly returns a configuration that shows a certificate and asks for none,
-// for operators, who are known by their tokens.
-func (k *Keeper) ServerOnly() *tls.Config {
+// ServerOnly returns a server configuration that requests no client certificate. It is meant
+// for operators, who authenticate with tokens.
+func (r *Reloader) ServerOnly() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS13,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.current(), nil },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return r.currentCertificate(), nil },
 	}
 }
 
-// Client returns a configuration that shows this node's certificate and accepts
-// any that the authority signed. Nodes are reached by address, so the name in a
-// certificate is not compared.
-func (k *Keeper) Client() *tls.Config {
+// Client returns a client configuration that presents this node's certificate and accepts
+// any server certificate signed by the authority. Nodes are reached by address, so the name
+// in the certificate is not verified.
+func (r *Reloader) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return k.current(), nil },
-		// The chain is verified below, against the authority as it is now.
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return r.currentCertificate(), nil },
+		// VerifyConnection verifies the chain instead, against the current authority.
 		InsecureSkipVerify: true,
-		VerifyConnection:   k.verify(x509.ExtKeyUsageServerAuth),
+		VerifyConnection:   r.verify(x509.ExtKeyUsageServerAuth),
 	}
 }
 
-// verify returns a check of the peer's chain for one use.
-func (k *Keeper) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
+// verify returns a function that verifies the peer's certificate chain for a key usage.
+func (r *Reloader) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
-			return errors.New("peer showed no certificate")
+			return errors.New("peer presented no certificate")
 		}
-		between := x509.NewCertPool()
+		intermediates := x509.NewCertPool()
 		for _, certificate := range state.PeerCertificates[1:] {
-			between.AddCert(certificate)
+			intermediates.AddCert(certificate)
 		}
-		k.refresh()
-		k.mutex.Lock()
-		roots := k.authority
-		k.mutex.Unlock()
+		r.refresh()
+		r.mutex.Lock()
+		roots := r.authority
+		r.mutex.Unlock()
 		_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
 			Roots:         roots,
-			Intermediates: between,
+			Intermediates: intermediates,
 			KeyUsages:     []x509.ExtKeyUsage{usage},
 		})
-		return errors.Wrap(err, "peer's certificate")
+		return errors.Wrap(err, "verify peer certificate")
 	}
 }
 
-func (k *Keeper) current() *tls.Certificate {
-	k.refresh()
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.certificate
+// currentCertificate returns the certificate after reloading changed files.
+func (r *Reloader) currentCertificate() *tls.Certificate {
+	r.refresh()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.certificate
 }
 
-// refresh reads the files again when one has changed. What cannot be read is
-// left as it was: files may be half written while they are replaced.
-func (k *Keeper) refresh() {
-	k.mutex.Lock()
-	isDue := time.Since(k.checked) >= checkInterval
-	k.checked = time.Now()
-	known := k.modified
-	k.mutex.Unlock()
-	if isDue && k.newest().After(known) {
-		// The next refresh tries again.
-		_ = k.read()
+// refresh reloads the files if one has changed. If that fails, the previous content stays in
+// use, because files may be incomplete while they are being replaced.
+func (r *Reloader) refresh() {
+	r.mutex.Lock()
+	isDue := time.Since(r.checked) >= checkInterval
+	r.checked = time.Now()
+	known := r.modified
+	r.mutex.Unlock()
+	if isDue && r.lastModified().After(known) {
+		// The next refresh retries, because modified is unchanged after a failure.
+		_ = r.read()
 	}
 }
 
-func (k *Keeper) newest() time.Time {
-	newest := time.Time{}
-	for _, path := range []string{k.files.Certificate, k.files.Key, k.files.Authority} {
-		if info, err := os.Stat(path); err == nil && info.ModTime().After(newest) {
-			newest = info.ModTime()
+// lastModified returns the latest modification time of the files.
+func (r *Reloader) lastModified() time.Time {
+	lastModified := time.Time{}
+	for _, path := range []string{r.files.Certificate, r.files.Key, r.files.Authority} {
+		if info, err := os.Stat(path); err == nil && info.ModTime().After(lastModified) {
+			lastModified = info.ModTime()
 		}
 	}
-	return newest
+	return lastModified
 }
 
-func (k *Keeper) read() error {
-	modified := k.newest()
-	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
+// read loads all files and replaces the content in use if all of them are valid.
+func (r *Reloader) read() error {
+	modified := r.lastModified()
+	certificate, err := tls.LoadX509KeyPair(r.files.Certificate, r.files.Key)
 	if err != nil {
-		return errors.Wrapf(err, "certificate %s with key %s", k.files.Certificate, k.files.Key)
+		return errors.Wrapf(err, "load certificate %s with key %s", r.files.Certificate, r.files.Key)
 	}
-	text, err := os.ReadFile(k.files.Authority)
+	text, err := os.ReadFile(r.files.Authority)
 	if err != nil {
 		return errors.Wrap(err, "authority")
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(text) {
-		return errors.Newf("authority %s: no certificate in it", k.files.Authority)
+		return errors.Newf("authority %s contains no certificate", r.files.Authority)
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.certificate = &certificate
-	k.authority = authority
-	k.modified = modified
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.certificate = &certificate
+	r.authority = authority
+	r.modified = modified
 	return nil
 }
--- a/internal/certificates/certificates_test.go
+++ b/internal/certificates/certificates_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// issuer signs certificates for a test.
+// issuer is a certificate authority for tests.
 type issuer struct {
 	t      *testing.T
 	key    *ecdsa.PrivateKey
@@ -42,7 +42,8 @@
 	}
 }
 
-// issue writes a certificate, its key and the authority into a directory.
+// issue writes a new node certificate, its key and the authority's certificate into a
+// directory.
 func (i *issuer) issue(directory string) Files {
 	i.serial++
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -77,32 +78,32 @@
 	return files
 }
 
-func load(t *testing.T, files Files) *Keeper {
+func load(t *testing.T, files Files) *Reloader {
 	t.Helper()
-	keeper, err := Load(files)
+	reloader, err := Load(files)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return keeper
+	return reloader
 }
 
-// handshake connects two keepers and returns the serial number of the server's
-// certificate.
-func handshake(server, client *Keeper) (*big.Int, error) {
+// handshake performs a TLS handshake between two nodes and returns the serial number of the
+// server's certificate.
+func handshake(server, client *Reloader) (*big.Int, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	defer listener.Close()
-	failed := make(chan error, 1)
+	serverDone := make(chan error, 1)
 	go func() {
 		socket, err := listener.Accept()
 		if err != nil {
-			failed <- err
+			serverDone <- err
 			return
 		}
 		defer socket.Close()
-		failed <- tls.Server(socket, server.Server()).Handshake()
+		serverDone <- tls.Server(socket, server.Server()).Handshake()
 	}()
 	socket, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -113,8 +114,8 @@
 	if err := dialled.Handshake(); err != nil {
 		return nil, err
 	}
-	// The server judges the client's certificate after the client is done.
-	if err := <-failed; err != nil {
+	// In TLS 1.3 the server verifies the client's certificate after the client has finished.
+	if err := <-serverDone; err != nil {
 		return nil, err
 	}
 	return dialled.ConnectionState().PeerCertificates[0].SerialNumber, nil
@@ -126,11 +127,11 @@
 	if _, err := handshake(first, second); err != nil {
 		t.Error(err)
 	}
-	stranger := load(t, newIssuer(t).issue(t.TempDir()))
-	if _, err := handshake(first, stranger); err == nil {
+	foreign := load(t, newIssuer(t).issue(t.TempDir()))
+	if _, err := handshake(first, foreign); err == nil {
 		t.Error("a client of another authority was accepted")
 	}
-	if _, err := handshake(stranger, first); err == nil {
+	if _, err := handshake(foreign, first); err == nil {
 		t.Error("a server of another authority was accepted")
 	}
 }
@@ -151,7 +152,7 @@
 	server.checked = time.Time{}
 	after, err := handshake(server, client)
 	if err != nil || after.Cmp(before) == 0 {
-		t.Errorf("serial number %v, %v, want another than %v", after, err, before)
+		t.Errorf("serial number %v, error %v, want a serial number other than %v", after, err, before)
 	}
 }
 
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -1,4 +1,4 @@
-// Package discovery describes the servers that requests can be sent to.
+// Package discovery defines the registration records of the servers that receive requests.
 package discovery
 
 import (
@@ -7,69 +7,71 @@
 	"time"
 )
 
-// ServerID names one life of a server; a restarted server has another one, also if it
-// registers under the same instance id again.
+// ServerID identifies one incarnation of a server. A restarted server gets another
+// ServerID, even if it registers under the same instance id again.
 type ServerID string
 
-// lifeMark stands between the instance id and the moment of the start.
-const lifeMark = "@"
+// incarnationSeparator separates the instance id from the start time.
+const incarnationSeparator = "@"
 
-// NewServerID returns the id of the life of an instance that began at a moment, in Unix
-// milliseconds; 0 if the instance does not tell, because each start draws a new id.
+// NewServerID returns the id of the incarnation of an instance that started at startedAt, in
+// Unix milliseconds. startedAt is 0 for instances that do not report it, because they use a
+// new instance id at each start.
 func NewServerID(instance string, startedAt int64) ServerID {
 	switch {
 	case startedAt != 0:
-		return ServerID(instance + lifeMark + strconv.FormatInt(startedAt, 36))
-	case strings.Contains(instance, lifeMark):
-		return ServerID(instance + lifeMark)
+		return ServerID(instance + incarnationSeparator + strconv.FormatInt(startedAt, 36))
+	case strings.Contains(instance, incarnationSeparator):
+		// The trailing separator makes Instance return the whole instance id.
+		return ServerID(instance + incarnationSeparator)
 	default:
 		return ServerID(instance)
 	}
 }
 
-// Instance returns the id under which the server registered, which its later lives may
-// share.
+// Instance returns the instance id under which the server registered. Later incarnations
+// may share it.
 func (id ServerID) Instance() string {
-	if mark := strings.LastIndex(string(id), lifeMark); mark >= 0 {
+	if mark := strings.LastIndex(string(id), incarnationSeparator); mark >= 0 {
 		return string(id[:mark])
 	}
 	return string(id)
 }
 
-// State is what a server announces about itself.
+// State is the state that a server reports in its registration.
 type State int
 
-// The states of a server.
+// States of a server.
 const (
 	Ready State = iota
 	Draining
 )
 
-// Load is what a server tells of its load with an answer.
+// Load is the load that a server reports with a response.
 type Load struct {
-	// Running and Waiting are how many requests it works on and how many wait there.
+	// Running and Waiting are the numbers of requests in execution and in the server's queue.
 	Running, Waiting int
-	// Slots is how many requests it works on at a time.
+	// Slots is the number of requests that the server executes concurrently.
 	Slots int
-	// Slowness is how many times longer than usual its work takes at the moment.
+	// Slowness is the current service time divided by the usual one.
 	Slowness float64
 }
 
-// Server is one life of a server as it registered itself.
+// Server is the registration record of one incarnation of a server.
 type Server struct {
 	ID ServerID
-	// StartedAt is when this life began by the server's own clock, in Unix milliseconds; 0
-	// if it does not tell.
+	// StartedAt is the start time of this incarnation by the server's own clock, in Unix
+	// milliseconds; 0 if the server does not report it.
 	StartedAt int64
 	Service   string
-	// Version is that of its software.
+	// Version is the version of the server's software.
 	Version string
-	// Address is the server's IP and port.
+	// Address is the server's IP address and port.
 	Address string
 	Zone    string
-	// Slots is how many requests the server works on at a time.
+	// Slots is the number of requests that the server executes concurrently at most.
 	Slots int
 	State State
-	// WarmUp is how much longer the server was slow when it registered.
+	// WarmUp is the remaining warm-up time at the time of registration.
 	WarmUp time.Duration
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing holds the operators' configuration of a router: which requests
-// go to which service, and what holds for them. A Table is checked whole when it
-// is built and never changes afterwards.
+// Package routing holds the operators' configuration of a router: the mapping of requests
+// to services and the policies of routes and services. A Table is validated as a whole when
+// it is built and is immutable afterwards.
 package routing
 
 import (
@@ -13,56 +13,58 @@
 	"github.com/micahaven/micahaven/internal/tenants"
 )
 
-// ErrInvalid means that a table cannot be used. The message names the field, its
-// value and what is allowed.
+// ErrInvalid means that a table failed validation. The message contains the field, its value
+// and the allowed values.
 var ErrInvalid = errors.New("invalid routing table")
 
-// Backend is one service of a route and its part of the requests.
+// Backend is a service of a route with its share of the requests.
 type Backend struct {
 	Service string
-	// Weight is the backend's part, relative to the other weights of the route.
+	// Weight is the backend's share, relative to the sum of the weights of the route.
 	Weight float64
 }
 
-// Route says what holds for requests to one host and path prefix.
+// Route is the policy for requests to one host and path prefix.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
-	// Repeatable requests may run more than once; others run at most once.
+	// Repeatable requests may be executed more than once, others at most once.
 	Repeatable bool
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the longest time that the router may spend on a request.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most.
+	// Objective is the latency objective; a later response is of less use to the caller.
 	Objective time.Duration
-	// MaxAttempts is the largest number of servers a request may be sent to.
+	// MaxAttempts is the maximum number of servers that a request may be sent to.
 	MaxAttempts int
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority is the priority of requests; 0 is the highest.
 	Priority int
-	// Public routes need no key of a tenant.
+	// Public routes do not require a tenant's API key.
 	Public   bool
 	Backends []Backend
 }
 
-// Service says what holds for all servers of a service.
+// Service is the policy for all servers of a service.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections a server takes from all callers.
+	// MaxConnections is the number of connections that a server accepts in total, from all
+	// clients.
 	MaxConnections int
-	// HealthPath is where a server tells whether it warms up; empty if nowhere.
+	// HealthPath is the path at which a server reports whether it is warming up; empty if it
+	// does not report that.
 	HealthPath string
-	// KeyDivided services have one owner for each key.
+	// KeyDivided services are sharded by key: each key has one owner.
 	KeyDivided bool
-	// WarmUp is how long a server warms up after a start, and WarmUpRate how many
-	// requests a second it bears meanwhile; 0 means that nothing is said of that.
+	// WarmUp is how long a server warms up after a start. WarmUpRate is the number of
+	// requests per second that it can handle meanwhile. 0 means not configured.
 	WarmUp     time.Duration
 	WarmUpRate float64
-	// KeyWarmUp is for how long keys are slow at an owner that got them without the
-	// handover of the one before.
+	// KeyWarmUp is the time for which requests for a key are slow at a new owner that got the
+	// key without a handover from the previous owner.
 	KeyWarmUp time.Duration
 }
 
-// Limits bound what a client may send and how long it may idle.
+// Limits bounds the size of client requests and the time that clients may take.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -70,7 +72,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Spec is the content of a table before it is checked.
+// Spec is the content of a table before validation.
 type Spec struct {
 	Version  int64
 	Routes   []Route
@@ -79,7 +81,7 @@
 	Limits   Limits
 }
 
-// Table is a checked configuration. It is immutable and safe for concurrent use.
+// Table is a validated configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	version  int64
 	limits   Limits
@@ -88,9 +90,11 @@
 	routes   map[string][]*Route
 }
 
+// defaultObjective applies to routes without a configured objective.
 const defaultObjective = time.Second
 
-// NewTable checks a specification as a whole and indexes it.
+// NewTable validates and indexes a specification. It returns ErrInvalid if any part of it
+// is invalid.
 func NewTable(spec Spec) (*Table, error) {
 	table := &Table{
 		version:  spec.Version,
@@ -112,12 +116,12 @@
 	}
 	directory, err := tenants.NewDirectory(spec.Tenants)
 	if err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "tenants of the table"), ErrInvalid)
+		return nil, errors.Mark(errors.Wrap(err, "invalid tenants"), ErrInvalid)
 	}
 	table.tenants = directory
 	for index := range spec.Routes {
 		route := spec.Routes[index]
-		if err := table.checkRoute(&route); err != nil {
+		if err := table.validateRoute(&route); err != nil {
 			return nil, err
 		}
 		host := strings.ToLower(route.Host)
@@ -131,7 +135,8 @@
 	return table, nil
 }
 
-func (t *Table) checkRoute(route *Route) error {
+// validateRoute checks a route and sets defaults for missing values.
+func (t *Table) validateRoute(route *Route) error {
 	if !strings.HasPrefix(route.PathPrefix, "/") || !strings.HasSuffix(route.PathPrefix, "/") {
 		return invalid("route "+route.Name+" path prefix", route.PathPrefix, "begins and ends with /")
 	}
@@ -163,17 +168,18 @@
 	return nil
 }
 
+// invalid returns an ErrInvalid for a field with its value and the allowed values.
 func invalid(field string, value any, allowed string) error {
 	return errors.Wrapf(ErrInvalid, "field %s: %v, allowed: %s", field, value, allowed)
 }
 
-// Version is the operators' version of the table.
+// Version returns the version that the operators gave the table.
 func (t *Table) Version() int64 { return t.version }
 
 // Limits returns the limits for clients.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Tenants returns the tenants.
+// Tenants returns the directory of tenants.
 func (t *Table) Tenants() *tenants.Directory { return t.tenants }
 
 // Service returns a service by name.
@@ -185,8 +191,9 @@
 // Services returns all services by name. The map must not be changed.
 func (t *Table) Services() map[string]Service { return t.services }
 
-// Match returns the route of a host whose prefix is the longest that begins the
-// path, or nil.
+// Match returns the route of the host with the longest path prefix that matches the path,
+// or nil if there is none. Routes for the host with its port take precedence over routes for
+// the host without port.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes := t.routes[host]
@@ -203,17 +210,17 @@
 	return nil
 }
 
-// Choose returns the service for a position between 0 and 1, so that evenly
-// spread positions divide requests in proportion to the weights.
+// Choose maps a position between 0 and 1 to a service. Uniformly distributed positions
+// divide requests in proportion to the weights.
 func (r *Route) Choose(position float64) string {
 	total := 0.0
 	for _, backend := range r.Backends {
 		total += backend.Weight
 	}
-	passed := 0.0
+	cumulative := 0.0
 	for _, backend := range r.Backends {
-		passed += backend.Weight / total
-		if position < passed && backend.Weight > 0 {
+		cumulative += backend.Weight / total
+		if position < cumulative && backend.Weight > 0 {
 			return backend.Service
 		}
 	}
--- a/internal/schedule/load_test.go
+++ b/internal/schedule/load_test.go
@@ -7,27 +7,29 @@
 	"time"
 )
 
-// call is a caller's request: its tries until it is answered or gives up.
+// call is one simulated request with all its attempts until it is answered or given up.
 type call struct {
 	*Request
 	kind  string
 	tries int
-	// leaves is when the caller leaves without an answer; zero if it stays.
-	leaves time.Time
-	// back is when it comes (back).
-	back time.Time
-	// inTime and late tell how it was answered, refused that its last try was refused.
+	// disconnects is when the caller disconnects without a response; zero if it never does.
+	disconnects time.Time
+	// nextAttempt is the time of the next attempt.
+	nextAttempt time.Time
+	// inTime and late report how the call was answered; refused reports that its last attempt
+	// was refused.
 	inTime, late, refused bool
-	// held is how long a try was held at most that was refused then.
-	held time.Duration
+	// queuedFor is the longest queueing time of an attempt that was refused.
+	queuedFor time.Duration
 }
 
-// line plays a load against one server: every 10 ms it takes in who comes, lets the
-// server take whom the order says, and refuses whom Decide says.
-type line struct {
+// simulation simulates a load on one server in steps of 10 ms. Each step adds new arrivals,
+// starts queued requests in the order of Order while slots are free, and refuses requests
+// according to Decide.
+type simulation struct {
 	slots   int
 	work    func(now time.Time) time.Duration
-	coming  []*call
+	pending []*call
 	waiting []*call
 	until   map[*call]time.Time
 	busy    []time.Time
@@ -35,29 +37,29 @@
 }
 
 const (
-	step  = 10 * time.Millisecond
-	tries = 3
-	usual = 200 * time.Millisecond
+	step      = 10 * time.Millisecond
+	tries     = 3
+	usualWork = 200 * time.Millisecond
 )
 
-// play runs a load until all calls have ended.
-func play(slots int, work func(now time.Time) time.Duration, calls []*call) {
-	l := &line{slots: slots, work: work, coming: slices.Clone(calls), until: make(map[*call]time.Time)}
-	for now := start; len(l.coming)+len(l.waiting) > 0; now = now.Add(step) {
-		l.busy = slices.DeleteFunc(l.busy, func(end time.Time) bool { return !end.After(now) })
-		l.waiting = slices.DeleteFunc(l.waiting, func(c *call) bool { return !c.leaves.IsZero() && now.After(c.leaves) })
-		l.take(now)
-		l.decide(now, l.arrivals(now))
-		l.take(now)
+// simulate runs the simulation until all calls have ended.
+func simulate(slots int, work func(now time.Time) time.Duration, calls []*call) {
+	s := &simulation{slots: slots, work: work, pending: slices.Clone(calls), until: make(map[*call]time.Time)}
+	for now := start; len(s.pending)+len(s.waiting) > 0; now = now.Add(step) {
+		s.busy = slices.DeleteFunc(s.busy, func(end time.Time) bool { return !end.After(now) })
+		s.waiting = slices.DeleteFunc(s.waiting, func(c *call) bool { return !c.disconnects.IsZero() && now.After(c.disconnects) })
+		s.startRequests(now)
+		s.decide(now, s.arrivals(now))
+		s.startRequests(now)
 	}
 }
 
 func requestOf(c *call) *Request { return c.Request }
 
-func (l *line) arrivals(now time.Time) []*call {
+func (s *simulation) arrivals(now time.Time) []*call {
 	var arrived []*call
-	l.coming = slices.DeleteFunc(l.coming, func(c *call) bool {
-		if c.back.After(now) {
+	s.pending = slices.DeleteFunc(s.pending, func(c *call) bool {
+		if c.nextAttempt.After(now) {
 			return false
 		}
 		c.tries++
@@ -69,57 +71,57 @@
 	return arrived
 }
 
-func (l *line) take(now time.Time) {
-	Order(now, l.waiting, requestOf)
-	for len(l.waiting) > 0 && len(l.busy) < l.slots {
-		c := l.waiting[0]
-		l.waiting = l.waiting[1:]
-		end := now.Add(l.work(now))
-		l.busy = append(l.busy, end)
+func (s *simulation) startRequests(now time.Time) {
+	Order(now, s.waiting, requestOf)
+	for len(s.waiting) > 0 && len(s.busy) < s.slots {
+		c := s.waiting[0]
+		s.waiting = s.waiting[1:]
+		end := now.Add(s.work(now))
+		s.busy = append(s.busy, end)
 		c.inTime = !end.After(c.FirstTry.Add(c.Objective))
 		c.late = !c.inTime
 	}
 }
 
-func (l *line) decide(now time.Time, arrived []*call) {
+func (s *simulation) decide(now time.Time, arrived []*call) {
 	for _, c := range arrived {
-		l.until[c] = now
-		l.waiting = append(l.waiting, c)
+		s.until[c] = now
+		s.waiting = append(s.waiting, c)
 	}
-	l.waiting = slices.DeleteFunc(l.waiting, func(c *call) bool {
-		if now.Before(l.until[c]) || (now.Equal(c.Arrived) && len(l.busy) < l.slots) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(c *call) bool {
+		if now.Before(s.until[c]) || (now.Equal(c.Arrived) && len(s.busy) < s.slots) {
 			return false
 		}
-		place := Line{Ahead: Ahead(now, c.Request, l.waiting, requestOf), Places: float64(l.slots), Work: usual}
-		decision := Decide(now, c.Request, place)
-		l.until[c] = decision.Until
+		queue := Line{Ahead: Ahead(now, c.Request, s.waiting, requestOf), Places: float64(s.slots), Work: usualWork}
+		decision := Decide(now, c.Request, queue)
+		s.until[c] = decision.Until
 		if decision.Verdict == Wait {
 			return false
 		}
-		c.held = max(c.held, now.Sub(c.Arrived))
+		c.queuedFor = max(c.queuedFor, now.Sub(c.Arrived))
 		if c.tries == tries || now.After(c.Deadline) {
 			c.refused = true
 			return true
 		}
-		c.back = now.Add(l.returns.After(now, c.Request, place, 0, 0.5))
-		l.coming = append(l.coming, c)
+		c.nextAttempt = now.Add(s.returns.After(now, c.Request, queue, 0, 0.5))
+		s.pending = append(s.pending, c)
 		return true
 	})
 }
 
-// calls returns a call each interval, for some time.
+// calls returns one call per interval over the given length of time.
 func calls(kind string, priority int, from, length, interval time.Duration) []*call {
 	var all []*call
 	for after := from; after < from+length; after += interval {
-		request := asked(after, priority, fmt.Sprint(kind, len(all)))
+		request := requestAt(after, priority, fmt.Sprint(kind, len(all)))
 		request.Class = kind
-		all = append(all, &call{Request: request, kind: kind, back: request.Arrived})
+		all = append(all, &call{Request: request, kind: kind, nextAttempt: request.Arrived})
 	}
 	return all
 }
 
-// share is the part of the calls of a kind for which something holds.
-func share(calls []*call, kind string, holds func(*call) bool) float64 {
+// fraction returns the fraction of the calls of a kind for which a predicate holds.
+func fraction(calls []*call, kind string, holds func(*call) bool) float64 {
 	of, all := 0.0, 0.0
 	for _, c := range calls {
 		if c.kind != kind {
@@ -136,9 +138,9 @@
 func inTime(c *call) bool   { return c.inTime }
 func answered(c *call) bool { return c.inTime || c.late }
 
-func steady(time.Time) time.Duration { return usual }
+func constantWork(time.Time) time.Duration { return usualWork }
 
-// The servers of these loads bear 20 requests a second.
+// The simulated servers have a capacity of 20 requests per second.
 func TestLoads(t *testing.T) {
 	const seconds = 6 * time.Second
 	burst := append(calls("urgent", 0, 0, seconds, 200*time.Millisecond), calls("burst", 1, 0, seconds, 21*time.Millisecond)...)
@@ -154,14 +156,14 @@
 	leaving := append(calls("stays", 1, 0, seconds, 75*time.Millisecond), calls("leaves", 1, 0, seconds, 75*time.Millisecond)...)
 	for _, c := range leaving {
 		if c.kind == "leaves" {
-			c.leaves = c.Arrived.Add(300 * time.Millisecond)
+			c.disconnects = c.Arrived.Add(300 * time.Millisecond)
 		}
 	}
 	slow := func(now time.Time) time.Duration {
 		if since := now.Sub(start); since > 2*time.Second && since < 2400*time.Millisecond {
-			return 3 * usual
+			return 3 * usualWork
 		}
-		return usual
+		return usualWork
 	}
 	for _, load := range []struct {
 		name  string
@@ -171,33 +173,33 @@
 		holds func(*call) bool
 		least float64
 	}{
-		{"a burst of 2.4 on one kind: a more urgent one is in time", steady, burst, "urgent", inTime, 1},
-		{"the kind of the burst gets the rest in time, not late", steady, burst, "burst", inTime, 0.33},
-		{"a third repeats three times at once: the others are served", steady, repeating, "modest", inTime, 0.95},
-		{"callers who leave make room", steady, leaving, "stays", answered, 0.95},
-		{"three times slower for 0.4 s: nearly all are in time", slow, calls("usual", 1, 0, seconds, 55*time.Millisecond), "usual", inTime, 0.95},
-		{"and all are answered", slow, calls("usual", 1, 0, seconds, 55*time.Millisecond), "usual", answered, 1},
+		{"burst of 2.4 times the capacity: a route of higher priority is in time", constantWork, burst, "urgent", inTime, 1},
+		{"the bursting route gets the remaining capacity in time, not late", constantWork, burst, "burst", inTime, 0.33},
+		{"a third of the calls is sent three times at once: the others are served", constantWork, repeating, "modest", inTime, 0.95},
+		{"callers that disconnect free capacity", constantWork, leaving, "stays", answered, 0.95},
+		{"server three times slower for 0.4 s: nearly all are in time", slow, calls("usual", 1, 0, seconds, 55*time.Millisecond), "usual", inTime, 0.95},
+		{"server three times slower for 0.4 s: all are answered", slow, calls("usual", 1, 0, seconds, 55*time.Millisecond), "usual", answered, 1},
 	} {
 		if load.calls[0].tries == 0 {
-			play(4, load.work, load.calls)
+			simulate(4, load.work, load.calls)
 		}
-		got := share(load.calls, load.kind, load.holds)
+		got := fraction(load.calls, load.kind, load.holds)
 		t.Logf("%s: %.3f", load.name, got)
 		if got < load.least {
-			t.Errorf("%s: %.2f, want %.2f", load.name, got, load.least)
+			t.Errorf("%s: got %.2f, want at least %.2f", load.name, got, load.least)
 		}
 		for _, c := range load.calls {
-			ended := answered(c) || c.refused || !c.leaves.IsZero()
-			if half := c.Deadline.Sub(c.FirstTry) / 2; !ended || c.held > half+step {
-				t.Errorf("%s: a call ended: %v, held %v in vain", load.name, ended, c.held)
+			ended := answered(c) || c.refused || !c.disconnects.IsZero()
+			if half := c.Deadline.Sub(c.FirstTry) / 2; !ended || c.queuedFor > half+step {
+				t.Errorf("%s: a call ended: %v; queued for %v before a refusal", load.name, ended, c.queuedFor)
 				break
 			}
 		}
 	}
-	if modest, often := share(repeating, "modest", answered), share(repeating, "repeating", answered); often > modest {
-		t.Errorf("callers who repeat get %.2f of their requests answered, the others %.2f", often, modest)
+	if modest, often := fraction(repeating, "modest", answered), fraction(repeating, "repeating", answered); often > modest {
+		t.Errorf("callers that send duplicates get %.2f of their requests answered, the others %.2f", often, modest)
 	}
-	if urgent, lesser := share(burst, "urgent", answered), share(burst, "burst", answered); lesser > urgent {
-		t.Errorf("the lesser kind is answered more often: %.2f, %.2f", lesser, urgent)
+	if urgent, lesser := fraction(burst, "urgent", answered), fraction(burst, "burst", answered); lesser > urgent {
+		t.Errorf("the route of lower priority is answered more often: %.2f, higher priority %.2f", lesser, urgent)
 	}
 }
--- a/internal/schedule/order.go
+++ b/internal/schedule/order.go
@@ -6,14 +6,19 @@
 	"time"
 )
 
-// Order sorts waiting requests into the order in which they get servers. Those whose
-// answer can still be in time go first: one that is late loses little more by waiting,
-// while each one that it displaces turns late as well. Among these the more urgent go
-// first; within one priority each caller's first request goes before any caller's second,
-// so that one that asks often does not take the others' room; then the one that must start
-// earliest. That is the order of the callers' first tries where routes are alike, and lets
-// a request that was refused once go before those that have come since. It cannot fill
-// the line with requests that just miss their time, because those count as late.
+// Order sorts queued requests into the order in which they are served. The sort keys are:
+//
+//  1. Requests that can still meet their objective precede late ones. A late request loses
+//     little by waiting longer, while each request that it displaces becomes late as well.
+//  2. Higher priority.
+//  3. The caller's turn: within one priority, the first request of each caller precedes the
+//     second of any caller, so that a caller with many requests does not starve the others.
+//  4. The earliest latest-start time. Where routes are alike, this is the order of the
+//     callers' first attempts, so a request that was refused once precedes requests that
+//     arrived after its first attempt.
+//
+// Ordering by latest start does not fill the queue with requests that only just miss their
+// objective, because those count as late.
 func Order[T any](now time.Time, waiting []T, request func(T) *Request) {
 	if len(waiting) < 2 {
 		return
@@ -22,15 +27,15 @@
 		first, second := request(a), request(b)
 		return cmp.Or(first.rank(now).compare(second.rank(now)), first.latestStart().Compare(second.latestStart()))
 	})
-	turns := takeTurns(now, waiting, request)
+	turns := assignTurns(now, waiting, request)
 	slices.SortStableFunc(waiting, func(a, b T) int {
 		first, second := request(a), request(b)
 		return cmp.Or(first.rank(now).compare(second.rank(now)), cmp.Compare(turns[first], turns[second]))
 	})
 }
 
-// Ahead counts the waiting requests that go before a request or are on a par with it.
-// Turns of callers don't count: they change as requests come.
+// Ahead counts the queued requests that precede a request or rank equally with it. Turns
+// of callers are ignored, because they change as requests arrive.
 func Ahead[T any](now time.Time, candidate *Request, waiting []T, request func(T) *Request) int {
 	ahead := 0
 	for _, w := range waiting {
@@ -46,7 +51,7 @@
 	return ahead
 }
 
-// rank is what decides first.
+// rank holds the most significant sort keys of a request.
 type rank struct {
 	late     bool
 	priority int
@@ -67,22 +72,22 @@
 	}
 }
 
-// takeTurns numbers each caller's requests of a class in one rank, in the order of waiting.
-func takeTurns[T any](now time.Time, waiting []T, request func(T) *Request) map[*Request]int {
-	type share struct {
+// assignTurns numbers the requests of each caller within one class and rank, in queue order.
+func assignTurns[T any](now time.Time, waiting []T, request func(T) *Request) map[*Request]int {
+	type turnKey struct {
 		rank
 		class, caller string
 	}
-	taken := make(map[share]int)
+	counts := make(map[turnKey]int)
 	turns := make(map[*Request]int, len(waiting))
-	for _, w := range waiting {
-		r := request(w)
+	for _, item := range waiting {
+		r := request(item)
 		if r.Caller == "" {
 			continue
 		}
-		of := share{r.rank(now), r.Class, r.Caller}
-		turns[r] = taken[of]
-		taken[of]++
+		key := turnKey{r.rank(now), r.Class, r.Caller}
+		turns[r] = counts[key]
+		counts[key]++
 	}
 	return turns
 }
--- a/internal/schedule/quantile.go
+++ b/internal/schedule/quantile.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Quantile follows a quantile of times that come one by one: each time above it raises it
-// by a step and each below lowers it, in the proportion in which they should come. Steps
-// are a part of the value, so that it follows servers that turn slow within some ten
-// times. It must not be used concurrently.
+// Quantile estimates a quantile of a stream of durations. Each duration above the estimate
+// raises it by a step and each one below lowers it, with step sizes in the ratio that keeps
+// the estimate at the quantile. Steps are proportional to the value, so that the estimate
+// follows a server that becomes slow within some ten observations. It is not safe for
+// concurrent use.
 type Quantile struct {
-	// Part is the part of the times that are to be below.
+	// Part is the quantile to estimate, between 0 and 1.
 	Part  float64
 	value float64
 }
 
-// quantileStep is the part of the value by which one time changes it at most.
+// quantileStep is the largest relative change of the estimate by one observation.
 const quantileStep = 0.05
 
-// Observe takes in a time.
+// Observe updates the estimate with a duration.
 func (q *Quantile) Observe(took time.Duration) {
 	seconds := took.Seconds()
 	switch {
@@ -28,7 +29,7 @@
 	}
 }
 
-// Value returns the quantile; 0 as long as no time has come.
+// Value returns the estimate; 0 before the first observation.
 func (q *Quantile) Value() time.Duration {
 	return time.Duration(q.value * float64(time.Second))
 }
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,86 +1,90 @@
-// Package schedule decides which requests wait for a busy server, in which order they
-// get it, which are refused, and when those should come back. It is pure: it reads no
-// clock and knows no sockets.
+// Package schedule decides which requests queue for a busy server, in which order they
+// are served, which are refused, and when refused callers should retry. It is pure: it
+// reads no clock and does no I/O.
 //
-// It answers three loads: a burst beyond what the servers of one kind of request do, a
-// server that is slow for a moment, and callers that ask again at once and often. What it
-// is told may be one node's part of a server's load or all of it; the decisions are the
-// same, and only as good as that.
+// It is designed for three kinds of load: a burst on one route beyond the capacity of its
+// servers, a server that is slow for a short time, and callers that retry immediately and
+// often. The caller of this package may know all requests of a server or only those of one
+// node. The rules are the same in both cases; decisions are only as accurate as this input.
 package schedule
 
 import "time"
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request on which decisions depend.
 type Request struct {
-	// Class names the kind of request: its route.
+	// Class is the name of the request's route.
 	Class string
-	// Priority is the route's rank; 0 is the most urgent.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
-	// Caller tells callers of one class apart: those with the same value share.
+	// Caller identifies the caller within a class. Requests with the same value share one
+	// fair-queueing turn; requests with an empty value take no part in it.
 	Caller string
-	// Arrived is when this try came, and FirstTry when the caller first asked, as far as
-	// that is known.
+	// Arrived is the arrival time of this attempt. FirstTry is the estimated arrival time of
+	// the caller's first attempt.
 	Arrived, FirstTry time.Time
-	// Objective is the time since the first try after which an answer is late.
+	// Objective is the latency objective, counted from the first attempt; a response after
+	// it is late.
 	Objective time.Duration
-	// Limit is until when a server may work on it, and Deadline when the caller leaves.
+	// Limit is the time until which a server may process the request. Deadline is the time
+	// at which the caller gives up.
 	Limit, Deadline time.Time
-	// Work is how long a server is expected to have it.
+	// Work is the expected service time.
 	Work time.Duration
 }
 
-// latestStart is when a server must have the request for its answer to be in time.
+// latestStart returns the latest time at which a server must receive the request for its
+// response to meet the objective.
 func (r *Request) latestStart() time.Time {
 	return r.FirstTry.Add(r.Objective - r.Work)
 }
 
-// Late reports whether an answer can be in time no more, even if a server gets the
-// request now.
+// Late reports whether the response can no longer meet the objective, even if a server
+// receives the request now.
 func (r *Request) Late(now time.Time) bool { return now.After(r.latestStart()) }
 
-// Line is what stands before a request at a server, or at several that may stand in for
-// each other.
+// Line describes the queue ahead of a request, at one server or at several
+// interchangeable ones.
 type Line struct {
-	// Ahead is how many requests wait and go first.
+	// Ahead is the number of queued requests that are served first.
 	Ahead int
-	// Places is how many requests the servers work on at a time for whoever asks; 0 means
-	// that no server takes any now.
+	// Places is the number of requests that the servers process concurrently for this node;
+	// 0 means that no server accepts requests at present.
 	Places float64
-	// Work is how long each of them takes.
+	// Work is the mean service time of a request.
 	Work time.Duration
-	// Opens is how long the servers surely take none: what a server told of its load can
-	// mean that a node sends it nothing for a while.
+	// Opens is the time for which the servers are known to accept no requests, for example
+	// because a server's load report obliges the node to send it nothing for some time.
 	Opens time.Duration
-	// Closed is set while no server takes requests and it is not known when one will.
+	// Closed is set while no server accepts requests and it is unknown when one will.
 	Closed bool
 }
 
-// wait is how long a request that joins the line is expected to wait.
-func (l Line) wait() time.Duration {
-	return max(l.Opens, time.Duration(l.Ahead+1)*l.interval())
+// expectedWait returns the expected queueing time of a request that joins the queue.
+func (l Line) expectedWait() time.Duration {
+	return max(l.Opens, time.Duration(l.Ahead+1)*l.serviceInterval())
 }
 
-// interval is the mean time between two requests that the servers take.
-func (l Line) interval() time.Duration {
+// serviceInterval returns the mean time between two requests that the servers accept.
+func (l Line) serviceInterval() time.Duration {
 	if l.Places <= 0 {
 		return 0
 	}
 	return time.Duration(float64(l.Work) / l.Places)
 }
 
-// Verdict is what is done with a request for which no server is free.
+// Verdict says whether a request for which no server is free is queued or refused.
 type Verdict int
 
 const (
-	// Wait means that it waits in its place.
+	// Wait keeps the request in the queue.
 	Wait Verdict = iota
-	// Refuse means that it is refused now.
+	// Refuse rejects the request now.
 	Refuse
 )
 
-// Decision is a verdict and what belongs to it.
+// Decision is a verdict together with its validity.
 type Decision struct {
 	Verdict Verdict
-	// Until is how long a waiting request may wait before the next decision.
+	// Until is the time at which a queued request needs the next decision.
 	Until time.Time
 }
--- a/internal/topo/era.go
+++ b/internal/topo/era.go
@@ -1,10 +1,10 @@
 package topo
 
-// RevisionsPerEra is how many revision numbers an era has at most.
+// RevisionsPerEra is the size of an era's range of revision numbers.
 const RevisionsPerEra = 1_000_000_000_000
 
-// RevisionIn returns the revision with a number of an era. Revisions are ordered by their era
-// first: in a new era the store gives out numbers again.
+// RevisionIn combines an era and a revision number of that era into a revision. Revisions are
+// ordered by era first, because the store assigns the same numbers again in a new era.
 func RevisionIn(era, number int64) int64 { return era*RevisionsPerEra + number }
 
 // EraOf returns the era of a revision.
@@ -13,5 +13,5 @@
 // NumberOf returns a revision's number within its era.
 func NumberOf(revision int64) int64 { return revision % RevisionsPerEra }
 
-// CrossesEras reports whether a batch leads from one era to a later one.
+// CrossesEras reports whether the batch begins in one era and ends in another.
 func (b Batch) CrossesEras() bool { return EraOf(b.After) != EraOf(b.Revision) }
--- a/internal/topo/memory/memory.go
+++ b/internal/topo/memory/memory.go
@@ -1,5 +1,6 @@
-// Package memory is a stand-in for the platform's metadata store, in memory, with
-// the faults that its protocol allows. It serves the router's tests and lab.
+// Package memory implements topo.Store in memory, as a fake of the platform's metadata
+// store for tests and simulations of the router. It can inject the faults that the store's
+// protocol allows.
 package memory
 
 import (
@@ -16,22 +17,26 @@
 	"github.com/micahaven/micahaven/internal/topo"
 )
 
-// expiryPause is the pause between two looks of a waiting watch at the leases.
+// expiryPause is the interval at which a waiting watch checks for expired leases.
 const expiryPause = 50 * time.Millisecond
 
-// Store implements topo.Store. The zero value is not usable; see New.
+// Store implements topo.Store. The zero value is not usable; use New.
 type Store struct {
-	mutex     sync.Mutex
-	items     map[string]topo.Item
-	history   []topo.Event
+	mutex   sync.Mutex
+	items   map[string]topo.Item
+	history []topo.Event
+	// compacted is the revision up to which history has been discarded.
 	compacted int64
+	// revision is the number of the current revision within the era.
 	revision  int64
 	era       int64
 	leases    map[topo.LeaseID]*lease
 	nextLease topo.LeaseID
-	changed   chan struct{}
-	faults    Faults
-	calls     map[string]int
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	faults  Faults
+	// calls counts the calls of each kind.
+	calls map[string]int
 }
 
 type lease struct {
@@ -39,15 +44,15 @@
 	expires time.Time
 }
 
-// Faults are what goes wrong at the moment.
+// Faults selects the faults to inject.
 type Faults struct {
 	// Down makes every call fail.
 	Down bool
-	// Deaf keeps watches from hearing of changes, although they go on waiting.
+	// Deaf makes watches wait without reporting any change.
 	Deaf bool
-	// LoseAnswers makes changes happen without an answer.
+	// LoseAnswers applies transactions but fails the call, as if the response was lost.
 	LoseAnswers bool
-	// Refuse makes the store turn every call away.
+	// Refuse makes the store reject every call.
 	Refuse bool
 }
 
@@ -61,24 +66,26 @@
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
-	s.wake()
+	s.notifyWatches()
 }
 
-// Compact forgets all history; waiting watches are cut.
+// Compact discards all history. Watches that wait at an older revision fail with
+// topo.ErrCompacted.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.compacted = s.revision
 	s.history = nil
-	s.wake()
+	s.notifyWatches()
 }
 
-// Write puts or, with a nil value, deletes a key, as an operator or a server.
+// Write puts a key or, if value is nil, deletes it, as a change by another client of the
+// store. It returns the new revision.
 func (s *Store) Write(key string, value []byte) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -88,11 +95,11 @@
 	} else {
 		s.put(topo.Put{Key: key, Value: value})
 	}
-	s.wake()
-	return s.at()
+	s.notifyWatches()
+	return s.currentRevision()
 }
 
-// Saved is a copy of a store at some moment.
+// Saved is a copy of a store's content, for Restore.
 type Saved struct {
 	items     map[string]topo.Item
 	history   []topo.Event
@@ -101,11 +108,11 @@
 	ttls      map[topo.LeaseID]time.Duration
 }
 
-// Save returns a copy of the store as it is now.
+// Save returns a copy of the current content.
 func (s *Store) Save() Saved {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeases()
 	saved := Saved{
 		items: maps.Clone(s.items), history: slices.Clone(s.history), compacted: s.compacted, revision: s.revision,
 		ttls: make(map[topo.LeaseID]time.Duration, len(s.leases)),
@@ -116,8 +123,8 @@
 	return saved
 }
 
-// Restore makes the store what it was when a copy was saved and begins a new era. Leases
-// of that time last for as long as if they were renewed now.
+// Restore replaces the content by a saved copy and begins a new era. Leases of the copy
+// count as renewed now.
 func (s *Store) Restore(saved Saved) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -128,18 +135,18 @@
 	for id, ttl := range saved.ttls {
 		s.leases[id] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// Calls returns how often each kind of call was made.
+// Calls returns the number of calls of a kind.
 func (s *Store) Calls(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls[kind]
 }
 
-// wake lets watches look again. The caller holds the mutex.
-func (s *Store) wake() {
+// notifyWatches makes waiting watches check for changes. The caller holds the mutex.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -158,9 +165,9 @@
 	s.history = append(s.history, topo.Event{Item: topo.Item{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-// enter begins a call: it counts it, ends leases and says what is wrong. The
-// caller holds the mutex.
-func (s *Store) enter(kind string) error {
+// beginCall counts a call, returns the injected fault if there is one, and otherwise ends
+// expired leases. The caller holds the mutex.
+func (s *Store) beginCall(kind string) error {
 	s.calls[kind]++
 	switch {
 	case s.faults.Down:
@@ -168,20 +175,22 @@
 	case s.faults.Refuse:
 		return topo.ErrRefused
 	}
-	s.expire()
+	s.expireLeases()
 	return nil
 }
 
-func (s *Store) expire() {
+// expireLeases ends the leases that have expired. The caller holds the mutex.
+func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, l := range s.leases {
 		if now.After(l.expires) {
-			s.dropLease(id)
+			s.deleteLease(id)
 		}
 	}
 }
 
-func (s *Store) dropLease(id topo.LeaseID) {
+// deleteLease removes a lease and its keys in a new revision. The caller holds the mutex.
+func (s *Store) deleteLease(id topo.LeaseID) {
 	delete(s.leases, id)
 	s.revision++
 	for key, item := range s.items {
@@ -189,14 +198,14 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
 // List implements topo.Store.
 func (s *Store) List(_ context.Context, prefix string) ([]topo.Item, int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.enter("list"); err != nil {
+	if err := s.beginCall("list"); err != nil {
 		return nil, 0, err
 	}
 	var found []topo.Item
@@ -207,7 +216,7 @@
 		}
 	}
 	sort.Slice(found, func(i, j int) bool { return found[i].Key < found[j].Key })
-	return found, s.at(), nil
+	return found, s.currentRevision(), nil
 }
 
 // Era implements topo.Store.
@@ -221,27 +230,27 @@
 func (s *Store) Revision(context.Context) (int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.enter("revision"); err != nil {
+	if err := s.beginCall("revision"); err != nil {
 		return 0, err
 	}
-	return s.at(), nil
+	return s.currentRevision(), nil
 }
 
-// at returns the current revision. The caller holds the mutex.
-func (s *Store) at() int64 { return topo.RevisionIn(s.era, s.revision) }
+// currentRevision returns the current revision. The caller holds the mutex.
+func (s *Store) currentRevision() int64 { return topo.RevisionIn(s.era, s.revision) }
 
 // Watch implements topo.Store.
 func (s *Store) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]topo.Event, int64, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	s.mutex.Lock()
-	err := s.enter("watch")
+	err := s.beginCall("watch")
 	s.mutex.Unlock()
 	if err != nil {
 		return nil, 0, err
 	}
 	for {
-		events, at, changed, err := s.look(prefix, after)
+		events, at, changed, err := s.eventsSince(prefix, after)
 		if err != nil || len(events) > 0 {
 			return events, at, err
 		}
@@ -252,15 +261,17 @@
 			return nil, at, nil
 		case <-changed:
 		case <-time.After(expiryPause):
-			// Leases end although nobody calls.
+			// Leases expire even if no other call is made.
 		}
 	}
 }
 
-func (s *Store) look(prefix string, after int64) ([]topo.Event, int64, <-chan struct{}, error) {
+// eventsSince returns the changes of keys with a prefix after a revision, the current
+// revision, and a channel that is closed at the next change.
+func (s *Store) eventsSince(prefix string, after int64) ([]topo.Event, int64, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeases()
 	switch {
 	case s.faults.Down:
 		return nil, 0, nil, topo.ErrUnavailable
@@ -281,14 +292,14 @@
 			events = append(events, event)
 		}
 	}
-	return events, s.at(), s.changed, nil
+	return events, s.currentRevision(), s.changed, nil
 }
 
 // Commit implements topo.Store.
 func (s *Store) Commit(_ context.Context, transaction topo.Transaction) (int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.enter("commit"); err != nil {
+	if err := s.beginCall("commit"); err != nil {
 		return 0, err
 	}
 	for _, condition := range transaction.Conditions {
@@ -308,18 +319,18 @@
 	for _, key := range transaction.Deletes {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 	if s.faults.LoseAnswers {
 		return 0, topo.ErrUnavailable
 	}
-	return s.at(), nil
+	return s.currentRevision(), nil
 }
 
 // GrantLease implements topo.Store.
 func (s *Store) GrantLease(_ context.Context, ttl time.Duration) (topo.LeaseID, time.Duration, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.enter("lease"); err != nil {
+	if err := s.beginCall("lease"); err != nil {
 		return 0, 0, err
 	}
 	s.nextLease++
@@ -331,7 +342,7 @@
 func (s *Store) KeepLease(_ context.Context, id topo.LeaseID) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.enter("keep"); err != nil {
+	if err := s.beginCall("keep"); err != nil {
 		return err
 	}
 	known := s.leases[id]
@@ -346,12 +357,12 @@
 func (s *Store) EndLease(_ context.Context, id topo.LeaseID) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.enter("end"); err != nil {
+	if err := s.beginCall("end"); err != nil {
 		return err
 	}
 	if s.leases[id] == nil {
 		return topo.ErrLeaseGone
 	}
-	s.dropLease(id)
+	s.deleteLease(id)
 	return nil
 }
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/ack_monitor_test.go
@@ -12,8 +12,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// answerFirst answers the first request of each connection and reads on without a word.
-func answerFirst(t *testing.T) string {
+// serveOneRequest starts a server that answers only the first request of each connection and
+// keeps the connection open afterwards. It returns the server's address.
+func serveOneRequest(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +42,8 @@
 	return listener.Addr().String()
 }
 
-// The kernel of one machine acknowledges everything, so the test says what it says.
+// On the loopback interface the kernel acknowledges all data immediately, so the test
+// replaces the number of unacknowledged bytes.
 func TestRequestOnASilentConnectionIsGivenUpEarly(t *testing.T) {
 	const limit = 5 * time.Second
 	for _, test := range []struct {
@@ -49,43 +51,43 @@
 		unacknowledged int
 		silent         bool
 	}{
-		{"nothing is acknowledged", 100, true},
-		{"the server works on it", 0, false},
+		{"request not acknowledged", 100, true},
+		{"request acknowledged, server still processing it", 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			pool := NewPool(answerFirst(t), NewLink())
+			pool := NewPool(serveOneRequest(t), NewLink())
 			defer pool.Close()
 			pool.unacknowledged = func(net.Conn) (int, error) { return test.unacknowledged, nil }
 			request := &Request{Method: http.MethodGet, URI: "/", Host: "h", Silence: 50 * time.Millisecond}
 			if _, err := pool.Exchange(t.Context(), request); err != nil {
 				t.Fatal(err)
 			}
-			const patience = 400 * time.Millisecond
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			const requestTimeout = 400 * time.Millisecond
+			ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 			defer cancel()
 			startedAt := time.Now()
 			_, err := pool.Exchange(ctx, request)
 			if got := errors.Is(err, ErrSilent); got != test.silent {
-				t.Errorf("%v after %v; silent: %v, want %v", err, time.Since(startedAt), got, test.silent)
+				t.Errorf("got error %v after %v; matches ErrSilent: %v, want %v", err, time.Since(startedAt), got, test.silent)
 			}
 			if errors.Is(err, ErrNotSent) {
-				t.Error("the request counts as not sent, but its bytes may arrive")
+				t.Error("got ErrNotSent, but bytes of the request may still arrive")
 			}
 			if test.silent && ctx.Err() != nil {
-				t.Error("it was waited for to the end")
+				t.Error("connection was not reset before the context ended")
 			}
-			// A new connection works; waiting for it must not take long.
+			// The next request must succeed on a new connection without a long wait.
 			if _, err := pool.Exchange(t.Context(), request); err != nil || time.Since(startedAt) > limit {
-				t.Errorf("on a new connection: %v", err)
+				t.Errorf("request on a new connection: %v", err)
 			}
 		})
 	}
 }
 
-// Seen on machines whose link of 10 Mbit/s was full of answers of 90 KB: a request was
-// 130 to 200 ms on its way, its connection was given up after 160 ms, and a stopping node
-// answered 502 to requests at which servers worked. The kernel of one machine delays
-// nothing, so the test delays the server, what is acknowledged, and new connections.
+// On machines whose 10 Mbit/s link was saturated by responses of 90 KB, a request took 130
+// to 200 ms to arrive. Its connection was reset after 160 ms, and a stopping node answered
+// 502 to requests that servers were processing. The loopback interface adds no delay, so the
+// test delays the server, the acknowledgement and new connections.
 func TestRequestBehindAFullLinkIsWaitedFor(t *testing.T) {
 	const delay, silence = 200 * time.Millisecond, 50 * time.Millisecond
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
@@ -114,15 +116,15 @@
 		return dial(ctx, address)
 	}
 	if _, err := pool.Exchange(t.Context(), request("/delayed")); err != nil {
-		t.Errorf("%v, want the answer: nothing sent later has arrived before it", err)
+		t.Errorf("got error %v, want a response: no data sent later has arrived before the request", err)
 	}
 }
 
-// A server that is gone without a word cannot be reached by new connections either, but
-// what other servers answer shows that the link works.
+// A server that vanished without closing its connections does not accept new ones either,
+// so a probe proves nothing. Responses of other servers show that the link works.
 func TestRequestToAServerThatIsGoneIsGivenUpOnceOthersAnswer(t *testing.T) {
 	link := NewLink()
-	gone, other := NewPool(answerFirst(t), link), NewPool(answerFirst(t), link)
+	gone, other := NewPool(serveOneRequest(t), link), NewPool(serveOneRequest(t), link)
 	defer gone.Close()
 	defer other.Close()
 	request := &Request{Method: http.MethodGet, URI: "/", Host: "h", Silence: 50 * time.Millisecond}
@@ -139,6 +141,6 @@
 	const pause = 10 * time.Millisecond
 	time.AfterFunc(pause, func() { _, _ = other.Exchange(ctx, request) })
 	if _, err := gone.Exchange(ctx, request); !errors.Is(err, ErrSilent) {
-		t.Errorf("%v, want ErrSilent", err)
+		t.Errorf("got error %v, want ErrSilent", err)
 	}
 }
--- a/internal/upstream/chunked.go
+++ b/internal/upstream/chunked.go
@@ -5,12 +5,12 @@
 	"io"
 )
 
-// chunkedWriter writes a body of unknown length in chunks.
+// chunkedWriter writes a body of unknown length in the chunked transfer coding.
 type chunkedWriter struct{ socket io.Writer }
 
 func newChunkedWriter(socket io.Writer) *chunkedWriter { return &chunkedWriter{socket: socket} }
 
-// Write implements io.Writer; each call makes one chunk.
+// Write implements io.Writer. Each call writes one chunk.
 func (w *chunkedWriter) Write(part []byte) (int, error) {
 	if len(part) == 0 {
 		return 0, nil
@@ -25,7 +25,7 @@
 	return len(part), err
 }
 
-// Close writes the last chunk and the end of the empty trailer.
+// Close writes the last chunk and an empty trailer section.
 func (w *chunkedWriter) Close() error {
 	_, err := io.WriteString(w.socket, "0\r\n\r\n")
 	return err
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to servers over HTTP/1.1 connections that are
-// kept, one request at a time on each. Unlike net/http's transport it never
-// repeats a request by itself, and it matches answers to requests by their id.
+// Package upstream sends requests to servers over persistent HTTP/1.1 connections, one
+// request at a time on each connection. Unlike net/http's transport it never retries a
+// request by itself, and it matches responses to requests by a request id.
 package upstream
 
 import (
@@ -24,91 +24,93 @@
 	"github.com/micahaven/micahaven/internal/sockets"
 )
 
-// Errors of an exchange.
+// Errors returned by Pool.Exchange.
 var (
-	// ErrNotSent means that no byte of the request reached the server's process.
+	// ErrNotSent means that no byte of the request reached the server process.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrTurnedAway means, besides, that the server ended a new connection at once: it
-	// runs, and has as many connections as it takes.
+	// ErrTurnedAway is set in addition to ErrNotSent if the server closed a new connection
+	// immediately: it is running, but at its connection limit.
 	ErrTurnedAway = errors.New("server takes no more connections")
-	// ErrNoAnswer means that the request may have run and no answer came.
+	// ErrNoAnswer means that the request may have run but no response was received.
 	ErrNoAnswer = errors.New("no answer")
-	// ErrUndelivered means, besides, that the server's machine had not
-	// acknowledged the whole request when its connection was reset: the rest of
-	// it never arrives.
+	// ErrUndelivered is set in addition if the server's machine had not acknowledged the whole
+	// request when this node reset the connection: the remaining bytes never arrive.
 	ErrUndelivered = errors.New("request was not delivered")
-	// ErrSilent means, besides, that the server's machine acknowledged nothing of the
-	// request on a kept connection: such a connection is lost, and others may work.
+	// ErrSilent is set in addition if the server's machine did not acknowledge the request on
+	// a reused connection in time: that connection is lost, but new ones may work.
 	ErrSilent = errors.New("connection is silent")
-	// ErrBadAnswer means that what came is not the whole answer to the request;
-	// the request may have run.
+	// ErrBadAnswer means that the response is truncated or malformed. The request may have
+	// run.
 	ErrBadAnswer = errors.New("answer is damaged")
 )
 
 const (
 	dialTimeout = 400 * time.Millisecond
-	// silenceLimit is how long a server's machine may acknowledge nothing on a connection,
-	// idle or not, before the kernel ends it. Request.Silence bounds requests sooner.
-	silenceLimit = time.Second
-	// maxSettle bounds how long a new connection is watched before anything is sent on
-	// it. It is watched for one round trip, as its opening took: a server beyond its
-	// limit of connections accepts one and resets it at once, and a request that was
-	// sent meanwhile might have run.
-	maxSettle = 5 * time.Millisecond
-	// defaultIdle is how long an idle connection is kept if the server does not
-	// say; reuse stops idleMargin before the server closes it.
-	defaultIdle = 8 * time.Second
-	idleMargin  = 1200 * time.Millisecond
-	bufferBytes = 4 << 10
-	// maxBufferedBody is how much of an answer is read before it is passed on. Most answers
-	// are shorter, and their servers are free at once; 200 callers that don't read their
-	// long answers hold 25 MB.
+	// ackTimeout is the time without acknowledgement from the server's machine after which
+	// the kernel closes a connection, idle or not. Request.Silence sets a shorter bound for
+	// requests.
+	ackTimeout = time.Second
+	// maxSettleTime bounds the time for which a new connection is observed before a request is
+	// sent on it. It is observed for one round trip, measured as the time that opening it
+	// took: a server at its connection limit accepts a connection and resets it immediately,
+	// and it would be unknown whether a request sent meanwhile has run.
+	maxSettleTime = 5 * time.Millisecond
+	// defaultKeepAlive is the assumed keep-alive timeout of servers that do not announce one.
+	// Connections are reused until keepAliveMargin before the server closes them.
+	defaultKeepAlive = 8 * time.Second
+	keepAliveMargin  = 1200 * time.Millisecond
+	readBufferBytes  = 4 << 10
+	// maxBufferedBody is the size up to which a response is buffered before it is forwarded.
+	// Most responses are smaller, so that their servers are free immediately. 200 callers
+	// that do not read their long responses occupy 25 MB.
 	maxBufferedBody = 128 << 10
-	// maxSurplus is how many answers to other requests are skipped.
-	maxSurplus = 4
-	// concurrentBody is the size from which a body is sent while the answer is
-	// awaited, because a server may answer before it has read everything.
-	concurrentBody = 32 << 10
+	// maxResponsesRead bounds the number of responses that are read in search of the one with
+	// the request's id.
+	maxResponsesRead = 4
+	// minConcurrentBody is the size from which a body is sent while the response is being
+	// awaited, because a server may respond before it has read the whole body.
+	minConcurrentBody = 32 << 10
 )
 
-// Field is one header line.
+// Field is one header field.
 type Field struct{ Name, Value string }
 
-// Request is one request to a server.
+// Request is a request to a server.
 type Request struct {
 	Method string
-	// URI is the request target exactly as the client sent it.
+	// URI is the request target, exactly as sent by the client.
 	URI    string
 	Host   string
 	Fields []Field
 	Body   []byte
-	// Rest follows Body; nil if Body is everything.
+	// Rest is the part of the body after Body; nil if Body is complete.
 	Rest io.Reader
-	// Silence is how long the request may stay unacknowledged on a kept connection before
-	// it is compared with what was sent later, and the connection given up if that arrived;
-	// 0 means that it is waited for.
+	// Silence is the time for which the request may stay unacknowledged on a reused
+	// connection. After it, the connection is reset as soon as data sent later is known to
+	// have arrived. 0 disables this check.
 	Silence time.Duration
-	// IDHeader and ID are how the server marks the answer to this request.
+	// IDHeader and ID are the name and value of the header field that identifies the response
+	// to this request. An empty ID accepts any response.
 	IDHeader, ID string
 }
 
-// Answer is a server's answer.
+// Answer is a server's response.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body is the whole body, or its beginning if Rest is not nil.
+	// Body is the whole body, or its beginning if Rest is not nil. The caller must close Rest.
 	Body []byte
 	Rest io.ReadCloser
 }
 
-// Pool keeps connections to one server.
+// Pool holds the persistent connections to one server.
 type Pool struct {
 	address string
-	// settleTime is for how long a new connection is watched, by the time that its
-	// opening took.
+	// settleTime returns for how long a new connection is observed before use, given the time
+	// that opening it took.
 	settleTime func(opening time.Duration) time.Duration
-	// unacknowledged returns how many bytes written to a connection its peer has not
-	// acknowledged.
+	// unacknowledged returns the number of bytes written to a connection that the peer's
+	// machine has not acknowledged.
 	unacknowledged func(net.Conn) (int, error)
 	// dial opens a connection to the server.
 	dial func(ctx context.Context, address string) (net.Conn, error)
@@ -117,54 +119,58 @@
 	mutex  sync.Mutex
 	idle   []*connection
 	closed bool
-	// probing is true while a connection is being opened only to learn whether the path
-	// to the server works.
+	// probing is true while probePath opens a connection to check that the network path to
+	// the server works.
 	probing bool
 }
 
+// connection is one persistent connection. It carries at most one request at a time.
 type connection struct {
 	pool   *Pool
 	socket net.Conn
-	// used is true once the connection has carried a request.
-	used bool
-	// reader is there while a request is on the connection.
-	reader    *bufio.Reader
+	// reused is true once the connection has carried a request.
+	reused bool
+	// reader is set only while a request is in progress on the connection.
+	reader *bufio.Reader
+	// usableFor is the idle time after which the connection is not reused.
 	usableFor time.Duration
 	idleSince time.Time
 }
 
-// NewPool returns a pool for a server's address. Pools of one process share its link.
+// NewPool returns a pool for a server's address. All pools of a process share one Link.
 func NewPool(address string, link *Link) *Pool {
 	return &Pool{address: address, settleTime: settleTime, unacknowledged: sockets.Unacknowledged, dial: dial, link: link}
 }
 
-// Address returns where the server is.
+// Address returns the server's address.
 func (p *Pool) Address() string { return p.address }
 
 func dial(ctx context.Context, address string) (net.Conn, error) {
-	return sockets.Dialer(dialTimeout, silenceLimit).DialContext(ctx, "tcp", address)
+	return sockets.Dialer(dialTimeout, ackTimeout).DialContext(ctx, "tcp", address)
 }
 
-// refusesTimeout bounds how long a server's machine may take to refuse a connection.
-const refusesTimeout = 200 * time.Millisecond
+// refusalTimeout bounds the wait for a server's machine to refuse a connection.
+const refusalTimeout = 200 * time.Millisecond
 
-// Refuses reports whether the server's machine refuses a new connection: nothing listens there
-// any more. A machine that says nothing does not refuse.
+// Refuses reports whether the server's machine refuses a new connection, which means that no
+// process listens there any more. A machine that does not respond does not count as refusing.
 func (p *Pool) Refuses(ctx context.Context) bool {
-	bounded, cancel := context.WithTimeout(ctx, refusesTimeout)
+	bounded, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
 	socket, err := p.dial(bounded, p.address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// It was opened only to see; there is nobody to tell.
+	// The connection was only a probe; an error of closing it has no consequence.
 	_ = socket.Close()
 	return false
 }
 
-func settleTime(opening time.Duration) time.Duration { return min(opening, maxSettle) }
+// settleTime returns for how long a new connection is observed before use: one round trip,
+// bounded by maxSettleTime.
+func settleTime(opening time.Duration) time.Duration { return min(opening, maxSettleTime) }
 
-// Close ends idle connections; those in use end with their request.
+// Close closes idle connections. Connections in use are closed when their request ends.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -175,7 +181,7 @@
 	p.idle = nil
 }
 
-// Prune ends connections that have been idle for too long.
+// Prune closes connections that have been idle for longer than they may be reused.
 func (p *Pool) Prune(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -191,28 +197,29 @@
 }
 
 func (c *connection) close() {
-	// The connection is given up; there is nobody to tell.
+	// The connection is discarded; an error of closing it has no consequence.
 	_ = c.socket.Close()
 }
 
-// abort resets the connection, so that nothing more of what was written arrives.
+// abort resets the connection, so that unacknowledged data is discarded and never arrives.
 func (c *connection) abort() {
 	if socket, ok := c.socket.(*net.TCPConn); ok {
-		// Without it the connection is closed in order, which is what close does.
+		// If this fails, the connection is closed in the normal way instead.
 		_ = socket.SetLinger(0)
 	}
 	c.close()
 }
 
-// undelivered reports whether written bytes are not acknowledged yet.
+// undelivered reports whether the peer's machine has not yet acknowledged all written bytes.
 func (c *connection) undelivered() bool {
 	queued, err := c.pool.unacknowledged(c.socket)
 	return err == nil && queued > 0
 }
 
-// take returns an idle connection that is open and silent: an idle server has
-// nothing to say, so bytes there belong to no request.
-func (p *Pool) take() *connection {
+// getIdle returns an idle connection that is open and has no unread data, or nil. Data that
+// arrived while the connection was idle belongs to no request, so such a connection is
+// closed.
+func (p *Pool) getIdle() *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for len(p.idle) > 0 {
@@ -227,22 +234,24 @@
 	return nil
 }
 
-func (p *Pool) put(c *connection) {
+// putIdle makes a connection available for reuse, or closes it if the pool is closed.
+func (p *Pool) putIdle(c *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		c.close()
 		return
 	}
-	c.giveReaderBack()
+	c.releaseReader()
 	c.idleSince = time.Now()
-	c.used = true
+	c.reused = true
 	p.idle = append(p.idle, c)
 }
 
-// dropIdle ends the connections that have been idle since before a moment: one to the
-// same server went silent then, and connections mostly do so together.
-func (p *Pool) dropIdle(before time.Time) {
+// closeIdleSince closes the connections that have been idle since before the given time. It
+// is called after another connection to the same server was lost, because the connections to
+// one server are mostly lost together.
+func (p *Pool) closeIdleSince(before time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.idle = slices.DeleteFunc(p.idle, func(c *connection) bool {
@@ -254,14 +263,15 @@
 	})
 }
 
+// open returns an idle connection or, if there is none, a new one.
 func (p *Pool) open(ctx context.Context) (*connection, error) {
-	if c := p.take(); c != nil {
+	if c := p.getIdle(); c != nil {
 		return c, nil
 	}
 	return p.openNew(ctx)
 }
 
-// openNew opens a connection although there may be idle ones.
+// openNew opens a new connection even if there are idle ones.
 func (p *Pool) openNew(ctx context.Context) (*connection, error) {
 	startedAt := time.Now()
 	socket, err := p.dial(ctx, p.address)
@@ -271,28 +281,29 @@
 	if err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "connect to %s", p.address), ErrNotSent)
 	}
-	p.link.passed(startedAt)
+	p.link.recordDelivery(startedAt)
 	periodic.Pause(ctx, p.settleTime(time.Since(startedAt)))
 	if !sockets.IsIdle(socket) {
-		// It was ended by the server; there is nobody to tell.
+		// The server has already closed it; an error of closing it has no consequence.
 		_ = socket.Close()
 		return nil, errors.Mark(errors.Wrapf(ErrTurnedAway, "connect to %s", p.address), ErrNotSent)
 	}
-	return &connection{pool: p, socket: socket, usableFor: defaultIdle - idleMargin}, nil
+	return &connection{pool: p, socket: socket, usableFor: defaultKeepAlive - keepAliveMargin}, nil
 }
 
-// readers are those of connections that are idle: a node that renews the grants of some
-// thousand servers keeps a connection to each, of which few are in use at a time.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferBytes) }}
+// readers pools read buffers, so that idle connections hold none: a node that renews the
+// grants of some thousand servers keeps a connection to each, and few are in use at a time.
+var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 
-// takeReader gives the connection a reader.
-func (c *connection) takeReader() {
+// attachReader attaches a pooled reader to the connection.
+func (c *connection) attachReader() {
 	c.reader = readers.Get().(*bufio.Reader)
 	c.reader.Reset(c.socket)
 }
 
-// giveReaderBack takes it away, if it has one; nothing is buffered in it.
-func (c *connection) giveReaderBack() {
+// releaseReader returns the connection's reader, if any, to the pool. The reader must not
+// have buffered data.
+func (c *connection) releaseReader() {
 	if c.reader == nil {
 		return
 	}
@@ -301,8 +312,8 @@
 	c.reader = nil
 }
 
-// Exchange sends a request and returns its answer. When the context ends, the
-// connection is closed, which tells the server to stop.
+// Exchange sends a request and returns the response. When the context ends, the connection
+// is closed, which signals the server to stop processing the request.
 func (p *Pool) Exchange(ctx context.Context, request *Request) (*Answer, error) {
 	c, err := p.open(ctx)
 	if err != nil {
@@ -313,18 +324,19 @@
 		undelivered.Store(c.undelivered())
 		c.abort()
 	})
-	silent := c.watchSilence(ctx, request)
-	wroteAt := time.Now()
+	stopMonitor := c.monitorAck(ctx, request)
+	sentAt := time.Now()
 	answer, reusable, err := c.exchange(request)
 	if err == nil {
-		p.link.passed(wroteAt)
+		p.link.recordDelivery(sentAt)
 	}
-	if silent() && err != nil {
-		p.dropIdle(wroteAt)
+	if stopMonitor() && err != nil {
+		p.closeIdleSince(sentAt)
 		err = errors.Mark(err, ErrSilent)
 	}
 	if !stop() && err == nil {
-		// The context ended while the answer arrived; it is whole.
+		// The context ended while the response arrived. The response is complete, but the
+		// connection is being closed.
 		reusable = false
 	}
 	if err != nil && undelivered.Load() {
@@ -335,32 +347,34 @@
 		return answer, err
 	}
 	if answer.Rest == nil {
-		p.put(c)
+		p.putIdle(c)
 		return answer, nil
 	}
-	answer.Rest = &rest{Reader: answer.Rest, connection: c, stop: context.AfterFunc(ctx, c.close)}
+	answer.Rest = &responseRemainder{Reader: answer.Rest, connection: c, stop: context.AfterFunc(ctx, c.close)}
 	return answer, nil
 }
 
-// rest is the end of a long answer; its connection is not used again.
-type rest struct {
+// responseRemainder reads the remainder of a long response. Its connection is not reused.
+type responseRemainder struct {
 	io.Reader
 	connection *connection
 	stop       func() bool
 }
 
-func (r *rest) Close() error {
+func (r *responseRemainder) Close() error {
 	r.stop()
 	return r.connection.socket.Close()
 }
 
+// exchange sends a request, reads the response and reports whether the connection can be
+// reused.
 func (c *connection) exchange(request *Request) (*Answer, bool, error) {
-	c.takeReader()
-	wrote, err := c.write(request)
+	c.attachReader()
+	bodyDone, err := c.write(request)
 	if err != nil {
 		return nil, false, errors.Mark(errors.Wrap(err, "send request"), ErrNoAnswer)
 	}
-	response, skipped, err := c.readOwn(request)
+	response, skipped, err := c.readMatching(request)
 	if err != nil {
 		return nil, false, err
 	}
@@ -373,39 +387,41 @@
 		answer.Rest = response.Body
 		return answer, false, nil
 	}
-	c.noteKeepAlive(response.Header)
-	reusable := !response.Close && !skipped && c.reader.Buffered() == 0 && finished(wrote)
+	c.recordKeepAlive(response.Header)
+	reusable := !response.Close && !skipped && c.reader.Buffered() == 0 && bodySent(bodyDone)
 	return answer, reusable, nil
 }
 
-func finished(wrote <-chan error) bool {
-	if wrote == nil {
+// bodySent reports whether the request body has been sent completely.
+func bodySent(bodyDone <-chan error) bool {
+	if bodyDone == nil {
 		return true
 	}
 	select {
-	case err := <-wrote:
+	case err := <-bodyDone:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// noteKeepAlive takes in how long the server keeps idle connections.
-func (c *connection) noteKeepAlive(header http.Header) {
-	c.usableFor = defaultIdle - idleMargin
+// recordKeepAlive records the keep-alive timeout that the server announces.
+func (c *connection) recordKeepAlive(header http.Header) {
+	c.usableFor = defaultKeepAlive - keepAliveMargin
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			c.usableFor = time.Duration(seconds)*time.Second - idleMargin
+			c.usableFor = time.Duration(seconds)*time.Second - keepAliveMargin
 		}
 	}
 }
 
-// readOwn reads answers until that of the request comes.
-func (c *connection) readOwn(request *Request) (*http.Response, bool, error) {
+// readMatching reads responses until it finds the one with the request's id, and reports whether
+// it skipped others.
+func (c *connection) readMatching(request *Request) (*http.Response, bool, error) {
 	method := &http.Request{Method: request.Method}
 	skipped := false
-	for range maxSurplus {
+	for range maxResponsesRead {
 		response, err := http.ReadResponse(c.reader, method)
 		if err != nil {
 			return nil, skipped, errors.Mark(errors.Wrap(err, "read answer"), ErrNoAnswer)
@@ -426,14 +442,14 @@
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// write sends the request. A long body is sent on a goroutine of its own, whose
-// end is told on the channel.
+// write sends the request. A long or streamed body is sent by a separate goroutine, whose
+// result is delivered on the returned channel; the channel is nil if everything was sent.
 func (c *connection) write(request *Request) (<-chan error, error) {
 	head := buffers.Get().(*bytes.Buffer)
 	defer buffers.Put(head)
 	head.Reset()
 	appendHead(head, request)
-	if request.Rest == nil && len(request.Body) < concurrentBody {
+	if request.Rest == nil && len(request.Body) < minConcurrentBody {
 		head.Write(request.Body)
 		_, err := c.socket.Write(head.Bytes())
 		return nil, err
@@ -451,16 +467,17 @@
 		_, err := c.socket.Write(request.Body)
 		return err
 	}
-	writer := newChunkedWriter(c.socket)
-	if _, err := writer.Write(request.Body); err != nil {
+	chunks := newChunkedWriter(c.socket)
+	if _, err := chunks.Write(request.Body); err != nil {
 		return err
 	}
-	if _, err := io.Copy(writer, request.Rest); err != nil {
-		// The client's body ended early; the server must not take it as whole.
+	if _, err := io.Copy(chunks, request.Rest); err != nil {
+		// The body could not be read or sent completely. Closing the connection without the
+		// last chunk keeps the server from accepting the body as complete.
 		c.close()
 		return err
 	}
-	return writer.Close()
+	return chunks.Close()
 }
 
 func appendHead(head *bytes.Buffer, request *Request) {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -13,9 +13,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Seen on the large deployments: servers beyond their limit of connections reset new
-// ones, and 1,825 requests of a day were answered "may have run" although no server
-// ever saw them, so that their clients could not ask again.
+// Servers at their connection limit reset new connections. Requests sent on such a
+// connection were reported as "may have run" although no server received them, so that
+// clients could not retry: 1,825 requests in one day on large deployments.
 func TestRequestIsNotSentOnAConnectionThatIsResetAtOnce(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,19 +44,20 @@
 			}
 		}
 		pool.settleTime = func(time.Duration) time.Duration {
-			// However busy this machine is, the server has reset the connection by then.
+			// Wait for the reset, so that the test does not depend on the load of the machine.
 			wait()
 			return pause
 		}
 		_, err := pool.Exchange(context.Background(), &Request{Method: http.MethodPost, URI: "/", Host: "h"})
 		if !errors.Is(err, ErrNotSent) || !errors.Is(err, ErrTurnedAway) {
-			t.Fatalf("%v, want ErrNotSent and ErrTurnedAway", err)
+			t.Fatalf("got error %v, want ErrNotSent and ErrTurnedAway", err)
 		}
 		wait()
 	}
 }
 
-// A connection that closes later than that leaves it open whether the request ran.
+// If the server closes a connection after the request was sent, it is unknown whether the request
+// ran.
 func TestConnectionThatEndsLaterIsNoAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,14 +80,14 @@
 	defer pool.Close()
 	_, err = pool.Exchange(context.Background(), &Request{Method: http.MethodPost, URI: "/", Host: "h"})
 	if !errors.Is(err, ErrNoAnswer) || errors.Is(err, ErrNotSent) {
-		t.Errorf("%v, want ErrNoAnswer only", err)
+		t.Errorf("got error %v, want ErrNoAnswer only", err)
 	}
 	if accepted.Load() != 1 {
 		t.Errorf("%d connections, want one", accepted.Load())
 	}
 }
 
-// A connection that is kept for long needs no buffer while nothing is on it.
+// An idle connection must not hold a read buffer.
 func TestIdleConnectionsKeepNoBuffer(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
