--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -1,7 +1,6 @@
-// Package ending bounds the requests of a node by the end of the node. A request's own
-// time limit knows its client and its route, but not that the node that serves it was
-// told to stop: whatever may last longer than the node has to end with it, while there
-// is still time to send an answer.
+// Package ending bounds the requests of a node by the node's shutdown. The deadline of a request
+// depends on its client and its route, but not on a shutdown of the node that serves it: anything
+// that may outlast the node has to end while there is still time to send a response.
 package ending
 
 import (
@@ -12,67 +11,68 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrReached is the cause of contexts that ended because the node stops.
-var ErrReached = errors.New("the node stops")
+// ErrShutdown is the cause of contexts that ended because of the node's shutdown.
+var ErrShutdown = errors.New("the node stops")
 
-// Ending is the moment by which the requests of a node have their final answers. It is
-// unknown until the node is told to stop. It is safe for concurrent use.
+// Ending is the time by which all requests of a node must have their final response. It is unknown
+// until the shutdown begins. It is safe for concurrent use.
 //
-// Invariant: a context from Bound is over by that moment, whether it was made before
-// the moment was set or after it.
+// Invariant: a context from Bound is done by that time, whether it was created before or after the
+// time was set.
 type Ending struct {
-	reached context.Context
-	reach   context.CancelFunc
+	expired context.Context
+	expire  context.CancelFunc
 
-	mutex sync.Mutex
-	at    time.Time
+	mutex    sync.Mutex
+	deadline time.Time
 }
 
-// New returns the ending of a node that does not stop yet.
+// New returns the Ending of a node that is not shutting down.
 func New() *Ending {
-	reached, reach := context.WithCancel(context.Background())
-	return &Ending{reached: reached, reach: reach}
+	expired, expire := context.WithCancel(context.Background())
+	return &Ending{expired: expired, expire: expire}
 }
 
-// Set tells when requests have to have ended. It is called once.
-func (e *Ending) Set(at time.Time) {
+// Set sets the time by which requests must have ended. It must be called at most once.
+func (e *Ending) Set(deadline time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.at = at
-	time.AfterFunc(time.Until(at), e.reach)
+	e.deadline = deadline
+	time.AfterFunc(time.Until(deadline), e.expire)
 }
 
-// At returns when requests have to have ended, and false if the node does not stop.
+// At returns the time by which requests must have ended, and false if the node is not shutting
+// down.
 func (e *Ending) At() (time.Time, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.at, !e.at.IsZero()
+	return e.deadline, !e.deadline.IsZero()
 }
 
-// Bounds are what ends a context from Bound.
+// Bounds controls the lifetime of a context from Bound.
 type Bounds struct {
-	outlive func() bool
+	detach  func() bool
 	release context.CancelFunc
 }
 
-// Outlive lets the context go on beyond the end of the node.
-func (b Bounds) Outlive() { b.outlive() }
+// Outlive lets the context continue beyond the node's shutdown.
+func (b Bounds) Outlive() { b.detach() }
 
-// Release ends the context and frees what belongs to it.
+// Release cancels the context and frees its resources.
 func (b Bounds) Release() { b.release() }
 
-// Bound returns a context that ends at a limit or with the node, and its bounds, which
+// Bound returns a context that ends at the limit or on the node's shutdown, and its bounds, which
 // must be released.
 func (e *Ending) Bound(ctx context.Context, limit time.Time) (context.Context, Bounds) {
-	withNode, end := context.WithCancelCause(ctx)
-	outlive := context.AfterFunc(e.reached, func() { end(ErrReached) })
-	bounded, release := context.WithDeadline(withNode, limit)
-	return bounded, Bounds{outlive: outlive, release: func() {
-		outlive()
+	nodeCtx, cancel := context.WithCancelCause(ctx)
+	detach := context.AfterFunc(e.expired, func() { cancel(ErrShutdown) })
+	bounded, release := context.WithDeadline(nodeCtx, limit)
+	return bounded, Bounds{detach: detach, release: func() {
+		detach()
 		release()
-		end(nil)
+		cancel(nil)
 	}}
 }
 
-// Ended reports whether a context ended because the node stops.
-func Ended(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrReached) }
+// Ended reports whether a context ended because of the node's shutdown.
+func Ended(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrShutdown) }
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -15,8 +15,8 @@
 	later = time.Minute
 )
 
-// A context ends with the node whether it was made before the node was told to stop,
-// between that and its end, or after the end.
+// Contexts must end on shutdown whether they were created before the shutdown began, during it, or
+// after its deadline.
 func TestContextsEndWithTheNode(t *testing.T) {
 	end := ending.New()
 	limit := time.Now().Add(later)
@@ -37,7 +37,8 @@
 	}
 }
 
-// Other ends are not taken for that of the node.
+// Contexts that end because of their own deadline or a client that disconnected must not be
+// reported as ended by the shutdown.
 func TestOtherEndsAreNotTheNodes(t *testing.T) {
 	end := ending.New()
 	timed, timedBounds := end.Bound(context.Background(), time.Now().Add(soon))
@@ -52,7 +53,7 @@
 		t.Errorf("limit: %v", context.Cause(timed))
 	}
 	if ending.Ended(left) || !errors.Is(left.Err(), context.Canceled) {
-		t.Errorf("client that left: %v", context.Cause(left))
+		t.Errorf("disconnected client: %v", context.Cause(left))
 	}
 }
 
@@ -69,6 +70,6 @@
 		t.Errorf("ended with %v", ctx.Err())
 	}
 	if at, stops := end.At(); !stops || at.IsZero() {
-		t.Errorf("stops %v at %v", stops, at)
+		t.Errorf("shutting down %v at %v", stops, at)
 	}
 }
--- a/internal/ending/release_test.go
+++ b/internal/ending/release_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// counted is a context that counts what waits for its end.
-type counted struct {
+// countingContext is a context that counts the functions waiting for its end.
+type countingContext struct {
 	context.Context
 	done    chan struct{}
 	waiting int
 }
 
 // Done implements context.Context.
-func (c *counted) Done() <-chan struct{} { return c.done }
+func (c *countingContext) Done() <-chan struct{} { return c.done }
 
-// AfterFunc is what package context uses to wait for a context that is not its own.
-func (c *counted) AfterFunc(func()) func() bool {
+// AfterFunc is called by package context to wait for a context that it did not create.
+func (c *countingContext) AfterFunc(func()) func() bool {
 	c.waiting++
 	stopped := false
 	return func() bool {
@@ -30,24 +30,25 @@
 	}
 }
 
-// A node serves for weeks: nothing of a request may stay with the node's end.
+// A node runs for weeks, so a released request must leave nothing registered with the shutdown
+// context.
 func TestReleasedBoundsLeaveNothingBehind(t *testing.T) {
 	end := New()
-	end.reach()
-	waits := &counted{Context: context.Background(), done: make(chan struct{})}
-	end.reached = waits
+	end.expire()
+	waits := &countingContext{Context: context.Background(), done: make(chan struct{})}
+	end.expired = waits
 	const requests = 100
 	for range requests {
 		ctx, bounds := end.Bound(context.Background(), time.Now().Add(time.Minute))
 		if waits.waiting != 1 {
-			t.Fatalf("%d wait for the end, want the request", waits.waiting)
+			t.Fatalf("%d waiters for the shutdown, want only the request", waits.waiting)
 		}
 		bounds.Release()
 		if ctx.Err() == nil {
-			t.Fatal("the context goes on")
+			t.Fatal("the context is still active after Release")
 		}
 	}
 	if waits.waiting != 0 {
-		t.Errorf("%d requests of %d still wait for the end", waits.waiting, requests)
+		t.Errorf("%d requests of %d still wait for the shutdown", waits.waiting, requests)
 	}
 }
--- a/internal/shardmanager/campaign.go
+++ b/internal/shardmanager/campaign.go
@@ -13,55 +13,57 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// lock is a manager's lock in the store. One of an earlier era of the store is void.
+// lock is the manager lock that this node holds in the store. A lock from an earlier store era is
+// void.
 type lock struct {
 	lease topo.LeaseID
-	// revision is the one at which the lock was written.
+	// revision is the store revision at which the lock was written.
 	revision int64
-	// keptAt is the manager's clock's reading when the last successful renewal was sent.
-	keptAt time.Duration
+	// renewedAt is the manager clock's reading when the last successful renewal was sent.
+	renewedAt time.Duration
 }
 
-// era returns the store's era in which the lock was taken.
+// era returns the store era in which the lock was acquired.
 func (l lock) era() int64 { return topo.EraOf(l.revision) }
 
-// ownerMap is an owner map from which a term continues; Map is nil if there is none.
-type ownerMap struct {
+// baseMap is the owner map that a term continues from; Map is nil if there is none.
+type baseMap struct {
 	*shards.Map
-	// key is where the store has the map, and revision the one of it; 0 if it has none.
+	// key and revision are the store key and the revision of the map; empty and 0 if the store has
+	// none.
 	key      string
 	revision int64
-	// frozen is true if the map comes from a term of this process.
+	// frozen reports whether the map comes from a frozen term of this process.
 	frozen bool
 }
 
-// candidacy is one attempt to take the lock.
+// candidacy is one attempt to acquire the lock.
 type candidacy struct {
 	lock  lock
 	epoch uint64
-	// era is the store's era for which the candidacy is, and staleLock the revision of the lock of
-	// an earlier era that it replaces; 0 if there is none.
-	era       int64
-	staleLock int64
-	core      *shards.Manager
-	found     ownerMap
-	written   *shards.Map
-	encoded   []byte
-	identity  []byte
+	// era is the store era that the candidacy is for. staleLock is the revision of the lock from an
+	// earlier era that it replaces; 0 if there is none.
+	era          int64
+	staleLock    int64
+	core         *shards.Manager
+	base         baseMap
+	written      *shards.Map
+	encodedMap   []byte
+	managerEntry []byte
 }
 
-// campaign tries to take the lock. The map of the new term is written together
-// with it, so that a manager that has the lock may send orders at once, even if
-// the store is lost right after. The term continues from the map of a frozen term of this
-// process, if there is one, or else from the newest that the store or this node has.
+// campaign tries to acquire the lock. The map of the new term is written in the same transaction as
+// the lock, so that a manager with the lock may send orders at once, even if the store becomes
+// unavailable right afterwards. The term continues from the map of a frozen term of this process if
+// there is one, and otherwise from the newest map known to the store or this node.
 func (m *Manager) campaign(ctx context.Context, frozen *shards.Map) (*term, error) {
 	attempt, err := m.prepare(ctx, frozen)
 	if err != nil {
 		return nil, err
 	}
-	attempt.lock.revision, err = m.config.Store.Commit(ctx, m.candidacyOf(attempt))
+	attempt.lock.revision, err = m.config.Store.Commit(ctx, m.lockTransaction(attempt))
 	if err != nil {
-		err = m.settleCampaign(ctx, attempt, err)
+		err = m.resolveCampaign(ctx, attempt, err)
 	}
 	if err == nil && attempt.lock.era() != attempt.era {
 		err = topo.ErrRestored
@@ -72,36 +74,36 @@
 	}
 	termsTotal.WithLabelValues(m.service).Inc()
 	m.logger.Info("manager lock taken", zap.Uint64("epoch", attempt.epoch), zap.Int64("revision", attempt.lock.revision),
-		zap.Bool("verified", attempt.core.Verified()), zap.Bool("continued", attempt.found.frozen))
+		zap.Bool("verified", attempt.core.Verified()), zap.Bool("continued", attempt.base.frozen))
 	return newTerm(m, attempt), nil
 }
 
-// prepare reads the map and gets a lease.
+// prepare reads the current map, obtains a lease and builds the candidacy.
 func (m *Manager) prepare(ctx context.Context, frozen *shards.Map) (*candidacy, error) {
-	found, era, err := m.readMap(ctx)
+	base, era, err := m.readMap(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if frozen != nil {
-		written := found.key == view.OwnersKey(m.service, era)
-		if written && found.Author.Process != m.config.Self.Process {
-			return nil, errors.Wrapf(errSucceeded, "era %d", era)
+		written := base.key == view.OwnersKey(m.service, era)
+		if written && base.Author.Process != m.config.Self.Process {
+			return nil, errors.Wrapf(errNewerTerm, "era %d", era)
 		}
-		found.Map, found.frozen = frozen, true
+		base.Map, base.frozen = frozen, true
 	}
 	staleLock, err := m.readStaleLock(ctx, era)
 	if err != nil {
 		return nil, err
 	}
-	attempt := &candidacy{found: found, era: era, staleLock: staleLock, lock: lock{keptAt: m.config.Clock()}}
+	attempt := &candidacy{base: base, era: era, staleLock: staleLock, lock: lock{renewedAt: m.config.Clock()}}
 	attempt.lock.lease, _, err = m.config.Store.GrantLease(ctx, lockTTL)
 	if err != nil {
 		return nil, err
 	}
-	attempt.epoch = m.nextEpoch(found.Map, era)
+	attempt.epoch = m.nextEpoch(base.Map, era)
 	author := shards.Author{Node: m.config.Self.Name, Process: m.config.Self.Process, Epoch: attempt.epoch}
-	attempt.core = shards.NewManager(m.service, attempt.epoch, author, found.Map, m.config.Options, 0)
-	attempt.identity, err = json.Marshal(view.Manager{Node: m.config.Self, Era: era})
+	attempt.core = shards.NewManager(m.service, attempt.epoch, author, base.Map, m.config.Options, 0)
+	attempt.managerEntry, err = json.Marshal(view.Manager{Node: m.config.Self, Era: era})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode manager entry")
 	}
@@ -109,30 +111,31 @@
 		return attempt, nil
 	}
 	attempt.written = attempt.core.Map(0)
-	attempt.encoded, err = attempt.written.Encode()
+	attempt.encodedMap, err = attempt.written.Encode()
 	return attempt, err
 }
 
-// candidacyOf returns the transaction that takes the lock and installs the map. A lock of an
-// earlier era is replaced, and maps of earlier eras are removed.
-func (m *Manager) candidacyOf(attempt *candidacy) topo.Transaction {
+// lockTransaction returns the transaction that acquires the lock and writes the initial map. It
+// replaces a lock from an earlier era and deletes maps of earlier eras.
+func (m *Manager) lockTransaction(attempt *candidacy) topo.Transaction {
 	lockKey, mapKey := view.ManagerKey(m.service), view.OwnersKey(m.service, attempt.era)
 	lockCondition, mapCondition := topo.Condition{Key: lockKey, Revision: attempt.staleLock}, topo.Condition{Key: mapKey}
-	transaction := topo.Transaction{Puts: []topo.Put{{Key: lockKey, Value: attempt.identity, Lease: attempt.lock.lease}}}
-	if attempt.encoded != nil {
-		transaction.Puts = append(transaction.Puts, topo.Put{Key: mapKey, Value: attempt.encoded})
+	transaction := topo.Transaction{Puts: []topo.Put{{Key: lockKey, Value: attempt.managerEntry, Lease: attempt.lock.lease}}}
+	if attempt.encodedMap != nil {
+		transaction.Puts = append(transaction.Puts, topo.Put{Key: mapKey, Value: attempt.encodedMap})
 	}
-	if attempt.found.key == mapKey {
-		mapCondition.Revision = attempt.found.revision
-	} else if attempt.found.key != "" && attempt.encoded != nil {
-		transaction.Deletes = []string{attempt.found.key}
+	if attempt.base.key == mapKey {
+		mapCondition.Revision = attempt.base.revision
+	} else if attempt.base.key != "" && attempt.encodedMap != nil {
+		transaction.Deletes = []string{attempt.base.key}
 	}
 	transaction.Conditions = []topo.Condition{lockCondition, mapCondition}
 	return transaction
 }
 
-// settleCampaign finds out whether a candidacy without an answer was done.
-func (m *Manager) settleCampaign(ctx context.Context, attempt *candidacy, cause error) error {
+// resolveCampaign reads the store to find out whether a transaction whose response was lost was
+// applied.
+func (m *Manager) resolveCampaign(ctx context.Context, attempt *candidacy, cause error) error {
 	if errors.Is(cause, topo.ErrConflict) || errors.Is(cause, topo.ErrRefused) || errors.Is(cause, topo.ErrLeaseGone) {
 		return cause
 	}
@@ -150,17 +153,17 @@
 	return cause
 }
 
-// withdraw gives up a candidacy, which may still be carried out: without the
-// lease it takes no lock, and disown says that no orders of its epoch follow.
+// withdraw abandons a candidacy whose transaction may still be applied later. Without its lease it
+// cannot hold the lock, and retirePastTerms announces that no orders of its epoch follow.
 func (m *Manager) withdraw(ctx context.Context, attempt *candidacy) {
-	// If it fails, the lease ends by itself.
+	// If this fails, the lease expires on its own.
 	_ = m.config.Store.EndLease(ctx, attempt.lock.lease)
 }
 
-// disown retires from terms of this process that others may wait for although
-// they are over: their candidacy was carried out after it was given up. It must
-// not be called while a term runs.
-func (m *Manager) disown(ctx context.Context) {
+// retirePastTerms retires terms of this process that are over but that other managers may still
+// wait for, because their transaction was applied after the candidacy was abandoned. It must not be
+// called during a term.
+func (m *Manager) retirePastTerms(ctx context.Context) {
 	current := m.config.Views.Current()
 	owners := current.Owners[m.service]
 	if owners.Owners == nil {
@@ -176,19 +179,19 @@
 		return
 	}
 	self := m.config.Self
-	// A restored store may have lost the retirement.
+	// A restored store may have lost the retirement record.
 	if owners.Era > m.retiredEra || current.MaySendOrders(m.service, self.Name, self.Process, int64(last)) {
 		m.writeRetirement(ctx, last)
 	}
 }
 
-// readMap returns the newest owner map that the store or this node has, and the store's era. A
-// map of an earlier era is unverified, and so is a service without a map in a store that was
-// restored before.
-func (m *Manager) readMap(ctx context.Context) (ownerMap, int64, error) {
+// readMap returns the newest owner map known to the store or this node, and the store era. A map
+// from an earlier era is unverified, and so is a service without a map in a store that has been
+// restored.
+func (m *Manager) readMap(ctx context.Context) (baseMap, int64, error) {
 	items, at, err := m.config.Store.List(ctx, view.OwnersKey(m.service, 0))
 	if err != nil {
-		return ownerMap{}, 0, err
+		return baseMap{}, 0, err
 	}
 	era := topo.EraOf(at)
 	var newest topo.Item
@@ -199,15 +202,15 @@
 			newest, newestEra = item, written
 		}
 	}
-	found := ownerMap{key: newest.Key, revision: newest.Revision}
+	found := baseMap{key: newest.Key, revision: newest.Revision}
 	if newestEra >= 0 {
 		if found.Map, err = shards.DecodeMap(newest.Value); err != nil {
-			return ownerMap{}, 0, err
+			return baseMap{}, 0, err
 		}
 	}
 	if newestEra == era || newestEra < 0 && era == 0 {
 		return found, era, nil
 	}
-	found.Map, err = m.rememberedMap(found.Map)
+	found.Map, err = m.newestKnownMap(found.Map)
 	return found, era, err
 }
--- a/internal/shardmanager/campaign_test.go
+++ b/internal/shardmanager/campaign_test.go
@@ -23,7 +23,7 @@
 
 const service = "s"
 
-// documents reads servers whose entry is their address.
+// documents decodes server entries that contain only an address.
 type documents struct{}
 
 func (documents) Table([]byte) (routing.Spec, error) { return routing.Spec{}, nil }
@@ -32,7 +32,7 @@
 	return discovery.Server{ID: discovery.ServerID(id), Service: service, Address: string(text), Slots: 2}, nil
 }
 
-// orders accepts everything and counts grants.
+// orders accepts all orders and counts the grants.
 type orders struct {
 	mutex  sync.Mutex
 	grants int
@@ -64,46 +64,48 @@
 func (notices) Succeeded([]shards.Author, topo.Item)  {}
 func (notices) TermOver(string, uint64)               {}
 
-// candidate runs a manager's node in one process and returns its orders and what
-// ends the process without a word.
-func candidate(t *testing.T, store topo.Store, name string) (*orders, func()) {
+// startManager runs a manager on a node of its own. It returns its orders and a function that stops
+// it.
+func startManager(t *testing.T, store topo.Store, name string) (*orders, func()) {
 	t.Helper()
-	return candidateWith(t, store, name, newViews(), notices{})
+	return startManagerWith(t, store, name, newViews(), notices{})
 }
 
-// suspendable is the clock of a machine that may be suspended: no other clock of the process
-// runs on while it is.
-type suspendable struct{ slept atomic.Int64 }
+// suspendableClock simulates a machine that may be suspended: its reading includes simulated
+// suspensions, which no other clock of the process does.
+type suspendableClock struct{ suspended atomic.Int64 }
 
-func (s *suspendable) now() time.Duration { return clock.Boot() + time.Duration(s.slept.Load()) }
+func (s *suspendableClock) now() time.Duration {
+	return clock.Boot() + time.Duration(s.suspended.Load())
+}
 
-func (s *suspendable) sleep(length time.Duration) { s.slept.Add(int64(length)) }
+func (s *suspendableClock) suspend(length time.Duration) { s.suspended.Add(int64(length)) }
 
 func newViews() *view.Builder {
 	return view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, documents{}, zap.NewNop())
 }
 
-// candidateWith is candidate with views and notices of the test.
-func candidateWith(t *testing.T, store topo.Store, name string, views *view.Builder, told shardmanager.Notices) (*orders, func()) {
+// startManagerWith is startManager with the given views and notices.
+func startManagerWith(t *testing.T, store topo.Store, name string, views *view.Builder, notifier shardmanager.Notices) (*orders, func()) {
 	t.Helper()
-	return suspendableCandidate(t, store, name, views, told, clock.Boot)
+	return startManagerWithClock(t, store, name, views, notifier, clock.Boot)
 }
 
-// suspendableCandidate is candidateWith on a machine with a clock of its own.
-func suspendableCandidate(t *testing.T, store topo.Store, name string, views *view.Builder, told shardmanager.Notices, measures clock.Clock) (*orders, func()) {
+// startManagerWithClock is startManagerWith with the given clock.
+func startManagerWithClock(t *testing.T, store topo.Store, name string, views *view.Builder, notifier shardmanager.Notices, bootClock clock.Clock) (*orders, func()) {
 	t.Helper()
-	copied := mirror.New(store, views, zap.NewNop())
+	storeCopy := mirror.New(store, views, zap.NewNop())
 	sent := &orders{}
 	manager := shardmanager.New(shardmanager.Config{
 		Self:  view.Node{Name: name, Process: "process of " + name, Share: 1},
-		Store: store, Views: views, Orders: sent, Notices: told, Options: shards.DefaultOptions(),
-		Clock: measures, Logger: zap.NewNop(),
+		Store: store, Views: views, Orders: sent, Notices: notifier, Options: shards.DefaultOptions(),
+		Clock: bootClock, Logger: zap.NewNop(),
 	}, service)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _ = copied.Run(ctx) }()
+	go func() { _ = storeCopy.Run(ctx) }()
 	for {
-		if _, _, listed := copied.Snapshot(); listed {
+		if _, _, listed := storeCopy.Snapshot(); listed {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -114,78 +116,78 @@
 
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	const patience = 10 * time.Second
-	deadline := time.Now().Add(patience)
+	const timeout = 10 * time.Second
+	deadline := time.Now().Add(timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("timed out after %v: %s", timeout, what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// crashable is a store that one process loses for ever.
-type crashable struct {
+// crashableStore is a store that becomes unavailable to one process for good.
+type crashableStore struct {
 	topo.Store
-	mutex sync.Mutex
-	gone  bool
+	mutex   sync.Mutex
+	crashed bool
 }
 
-func (c *crashable) crash() {
+func (c *crashableStore) crash() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.gone = true
+	c.crashed = true
 }
 
-func (c *crashable) lost() bool {
+func (c *crashableStore) isCrashed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.gone
+	return c.crashed
 }
 
-func (c *crashable) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
-	if c.lost() {
+func (c *crashableStore) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
+	if c.isCrashed() {
 		return 0, topo.ErrUnavailable
 	}
 	return c.Store.Commit(ctx, transaction)
 }
 
-func (c *crashable) KeepLease(ctx context.Context, id topo.LeaseID) error {
-	if c.lost() {
+func (c *crashableStore) KeepLease(ctx context.Context, id topo.LeaseID) error {
+	if c.isCrashed() {
 		return topo.ErrUnavailable
 	}
 	return c.Store.KeepLease(ctx, id)
 }
 
-func (c *crashable) EndLease(ctx context.Context, id topo.LeaseID) error {
-	if c.lost() {
+func (c *crashableStore) EndLease(ctx context.Context, id topo.LeaseID) error {
+	if c.isCrashed() {
 		return topo.ErrUnavailable
 	}
 	return c.Store.EndLease(ctx, id)
 }
 
-// Seen on tintamezcla-gw scale-1 (refused 0.07 to 0.09 instead of 0.03): a new
-// manager took the lock, the store went down before it had written its first map,
-// and it renewed nothing until the store was back.
+// Guards against a new manager that renews nothing during an outage that begins right after it
+// acquired the lock, before it has written its first map. Seen on tintamezcla-gw scale-1, where
+// 0.07 to 0.09 of the requests were refused instead of 0.03.
 func TestNewManagerRenewsAlthoughTheStoreIsLostRightAfterTheLock(t *testing.T) {
 	store := memory.New()
 	store.Write("servers/a", []byte("address a"))
-	first := &crashable{Store: store}
-	sent, end := candidate(t, first, "n1")
+	first := &crashableStore{Store: store}
+	sent, end := startManager(t, first, "n1")
 	waitFor(t, "the first manager grants", func() bool { return sent.count() > 0 })
 	first.crash()
 	end()
-	second, _ := candidate(t, &lostAfterCommit{Store: store, memory: store}, "n2")
+	second, _ := startManager(t, &downAfterCommitStore{Store: store, memory: store}, "n2")
 	waitFor(t, "the second manager renews without the store", func() bool { return second.count() > 0 })
 }
 
-// lostAfterCommit is a store that goes down for ever right after the first commit.
-type lostAfterCommit struct {
+// downAfterCommitStore is a store that becomes unavailable for good right after the first commit.
+type downAfterCommitStore struct {
 	topo.Store
 	memory *memory.Store
 }
 
-func (l *lostAfterCommit) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
+func (l *downAfterCommitStore) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
 	revision, err := l.Store.Commit(ctx, transaction)
 	if err == nil {
 		l.memory.SetFaults(memory.Faults{Down: true})
@@ -193,99 +195,99 @@
 	return revision, err
 }
 
-// An answer to the candidacy that is lost does not cost the term.
+// A lost response to the transaction that acquires the lock must not cost the term.
 func TestCandidacyWhoseAnswerIsLostIsSettled(t *testing.T) {
 	store := memory.New()
 	store.Write("servers/a", []byte("address a"))
-	losing := &losesFirstCommit{Store: store}
-	sent, _ := candidate(t, losing, "n1")
+	losing := &lostReplyStore{Store: store}
+	sent, _ := startManager(t, losing, "n1")
 	waitFor(t, "the manager grants", func() bool { return sent.count() > 0 })
 	if terms := store.Calls("lease"); terms > 1 {
 		t.Fatalf("%d leases were taken, want 1", terms)
 	}
 }
 
-// losesFirstCommit does the first commit without an answer.
-type losesFirstCommit struct {
+// lostReplyStore applies the first commit but loses its response.
+type lostReplyStore struct {
 	topo.Store
 	once sync.Once
 }
 
-func (l *losesFirstCommit) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
+func (l *lostReplyStore) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
 	revision, err := l.Store.Commit(ctx, transaction)
 	l.once.Do(func() { revision, err = 0, topo.ErrUnavailable })
 	return revision, err
 }
 
-// unserved is a store that turns one node away from a moment on, watches too.
-type unserved struct{ crashable }
+// refusingStore is a store that, once crashed, refuses all calls of one node, including watches.
+type refusingStore struct{ crashableStore }
 
-func (u *unserved) List(ctx context.Context, prefix string) ([]topo.Item, int64, error) {
-	if u.lost() {
+func (u *refusingStore) List(ctx context.Context, prefix string) ([]topo.Item, int64, error) {
+	if u.isCrashed() {
 		return nil, 0, topo.ErrUnavailable
 	}
 	return u.Store.List(ctx, prefix)
 }
 
-func (u *unserved) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]topo.Event, int64, error) {
+func (u *refusingStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]topo.Event, int64, error) {
 	const short = 20 * time.Millisecond
 	events, at, err := u.Store.Watch(ctx, prefix, after, min(wait, short))
-	if u.lost() {
+	if u.isCrashed() {
 		return nil, 0, topo.ErrUnavailable
 	}
 	return events, at, err
 }
 
-// linked passes notices on to the views of another node of the test.
-type linked struct {
+// linkedNotices delivers notices to the views of another node of the test.
+type linkedNotices struct {
 	notices
 	name  string
 	other *view.Builder
 }
 
-func (l linked) Succeeded(_ []shards.Author, item topo.Item) {
+func (l linkedNotices) Succeeded(_ []shards.Author, item topo.Item) {
 	l.other.Apply([]topo.Event{{Item: item}}, l.other.Current().Revision)
 }
 
-func (l linked) TermOver(service string, epoch uint64) {
+func (l linkedNotices) TermOver(service string, epoch uint64) {
 	l.other.ApplyRetirement(view.RetirementKey(service, l.name), view.Retirement{Process: "process of " + l.name, Epoch: int64(epoch)})
 }
 
-// Seen on kervran-hq trouble-1 (keys of a dead server refused for 7 s): the store
-// turned a manager's node away and gave its lock to another one. It renewed on
-// without the store, and its successor could not know when that would be over.
+// Guards against keys that stay without an owner because a manager that the store refuses continues
+// to renew grants after its lock went to another node, and its successor cannot know when that is
+// over. Seen on kervran-hq trouble-1, where the keys of a dead server were refused for 7 s.
 func TestManagerThatTheStoreRefusesHandsOverDirectly(t *testing.T) {
 	store := memory.New()
 	store.Write("servers/a", []byte("address a"))
 	oldViews, newerViews := newViews(), newViews()
-	refused := &unserved{crashable{Store: store}}
-	sent, _ := candidateWith(t, refused, "n1", oldViews, linked{name: "n1", other: newerViews})
+	refused := &refusingStore{crashableStore{Store: store}}
+	sent, _ := startManagerWith(t, refused, "n1", oldViews, linkedNotices{name: "n1", other: newerViews})
 	waitFor(t, "the first manager grants", func() bool { return sent.count() > 0 })
 	refused.crash()
-	candidateWith(t, store, "n2", newerViews, linked{name: "n2", other: oldViews})
-	waitFor(t, "the second manager knows that the first is over", func() bool {
+	startManagerWith(t, store, "n2", newerViews, linkedNotices{name: "n2", other: oldViews})
+	waitFor(t, "the second manager learns that the first one has stopped", func() bool {
 		owners := newerViews.Current().Owners[service]
 		return owners.Owners != nil && owners.Author.Node == "n2" && len(owners.Pending) == 0
 	})
 	before := sent.count()
-	// Two renewals would come in this time.
+	// Two renewals would be due in this time.
 	time.Sleep(2 * shards.DefaultOptions().Renew)
 	if after := sent.count(); after != before {
 		t.Fatalf("the first manager sent %d grants after its successor began", after-before)
 	}
 }
 
-// countsRetirements counts writes of retirements. Once it takes writes again it
-// still tells of no changes.
-type countsRetirements struct {
-	unserved
+// retirementCountingStore counts writes of retirements. After writable is set, it accepts writes
+// but still reports no changes.
+type retirementCountingStore struct {
+	refusingStore
 	writable atomic.Bool
 	written  atomic.Int64
 }
 
-func (c *countsRetirements) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
+func (c *retirementCountingStore) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
 	if !c.writable.Load() {
-		return c.unserved.Commit(ctx, transaction)
+		return c.refusingStore.Commit(ctx, transaction)
 	}
 	revision, err := c.Store.Commit(ctx, transaction)
 	if err == nil && len(transaction.Puts) == 1 && strings.HasPrefix(transaction.Puts[0].Key, view.RetirementKey(service, "")) {
@@ -294,24 +296,25 @@
 	return revision, err
 }
 
-// Seen on kervran-hq trouble-1: a node that heard late of its own write retired
-// from the same term six times, a priced call each.
+// Guards against repeated writes of a retirement, each a store call with a cost, by a node whose
+// watch reports its own write late. Seen on kervran-hq trouble-1, where one term was retired six
+// times.
 func TestRetirementIsWrittenOnce(t *testing.T) {
 	store := memory.New()
 	store.Write("servers/a", []byte("address a"))
 	oldViews, newerViews := newViews(), newViews()
-	refused := &countsRetirements{unserved: unserved{crashable{Store: store}}}
-	sent, _ := candidateWith(t, refused, "n1", oldViews, linked{name: "n1", other: newerViews})
+	refused := &retirementCountingStore{refusingStore: refusingStore{crashableStore{Store: store}}}
+	sent, _ := startManagerWith(t, refused, "n1", oldViews, linkedNotices{name: "n1", other: newerViews})
 	waitFor(t, "the first manager grants", func() bool { return sent.count() > 0 })
 	refused.crash()
-	candidateWith(t, store, "n2", newerViews, linked{name: "n2", other: oldViews})
+	startManagerWith(t, store, "n2", newerViews, linkedNotices{name: "n2", other: oldViews})
 	waitFor(t, "the second manager begins", func() bool {
 		owners := newerViews.Current().Owners[service]
 		return owners.Owners != nil && owners.Author.Node == "n2"
 	})
 	refused.writable.Store(true)
 	waitFor(t, "the first manager has retired", func() bool { return refused.written.Load() > 0 })
-	// It would be repeated each 200 ms.
+	// A repeated write would follow every 200 ms.
 	time.Sleep(time.Second)
 	if written := refused.written.Load(); written != 1 {
 		t.Fatalf("the retirement was written %d times, want once", written)
--- a/internal/shardmanager/ended_test.go
+++ b/internal/shardmanager/ended_test.go
@@ -14,7 +14,7 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// addressDocuments reads entries like "service address".
+// addressDocuments decodes server entries of the form "service address".
 type addressDocuments struct{}
 
 func (addressDocuments) Table([]byte) (routing.Spec, error) { return routing.Spec{}, nil }
@@ -24,9 +24,9 @@
 	return discovery.Server{ID: discovery.ServerID(id), Service: service, Address: address, Slots: 2}, nil
 }
 
-// Seen on a deployment where a third of a service's servers went silent and their addresses
-// were given to servers of another service: the keys waited until the entries could not come
-// back any more, 0.9 s after they were gone.
+// Guards against keys that wait for goneGrace although their server has certainly ended. Seen on a
+// deployment where a third of a service's servers stopped responding and their addresses were
+// reused by servers of another service: the keys waited for 0.9 s after the entries were gone.
 func TestKeysOfAServerWhoseAddressIsReusedMoveAtOnce(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		views := view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, addressDocuments{}, zap.NewNop())
@@ -40,13 +40,13 @@
 		views.Apply(events, 4)
 		core := shards.NewManager("s", 1, shards.Author{}, nil, shards.DefaultOptions(), 0)
 		manager := New(Config{Views: views, Clock: clock.Boot, Logger: zap.NewNop()}, "s")
-		held := &term{manager: manager, start: clock.Boot(), core: core, speeds: make(speeds), known: make(map[discovery.ServerID]bool)}
-		held.lookAtServers(views.Current())
+		held := &term{manager: manager, start: clock.Boot(), core: core, speeds: make(speeds), knownServers: make(map[discovery.ServerID]bool)}
+		held.updateServers(views.Current())
 		core.Start()
 		commands := core.Tick(held.now())
 		for _, r := range commands.Commit.Map.Ranges {
 			if reused && r.Owner == "ended" {
-				t.Fatalf("keys from %d go to a server whose address another one has", r.First)
+				t.Fatalf("keys from %d were assigned to a server whose address is used by another server", r.First)
 			}
 		}
 		owners := make(map[discovery.ServerID]bool)
@@ -54,14 +54,15 @@
 			owners[r.Owner] = true
 		}
 		if !reused && !owners["ended"] {
-			t.Error("a server whose entry has just gone, and may come back, gets no keys")
+			t.Error("a server whose entry has just disappeared and may return gets no keys")
 		}
 	}
 }
 
-// The entry of an earlier life at the same address may outlast a later one that takes its
-// own away while it still holds keys.
-func TestEntryOfAnEarlierLifeEndsNoLaterOne(t *testing.T) {
+// The entry of an earlier incarnation at the same address may outlast a newer incarnation that
+// deletes its own entry while it still holds keys. The older entry must not mark the newer
+// incarnation as ended.
+func TestEntryOfAnEarlierIncarnationDoesNotEndALaterOne(t *testing.T) {
 	views := view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, addressDocuments{}, zap.NewNop())
 	views.Replace([]topo.Item{
 		{Key: "servers/earlier", Value: []byte("s a"), Revision: 1}, {Key: "servers/later", Value: []byte("s a"), Revision: 2},
@@ -69,12 +70,12 @@
 	views.Apply([]topo.Event{{Item: topo.Item{Key: "servers/later", Revision: 3}, Deleted: true}}, 3)
 	current := views.Current()
 	if hasEnded(current.Servers.Get("later"), serversByAddress(current)) {
-		t.Error("the later life counts as ended")
+		t.Error("the newer incarnation counts as ended")
 	}
 	views.Apply([]topo.Event{{Item: topo.Item{Key: "servers/next", Value: []byte("s a"), Revision: 4}}}, 4)
 	current = views.Current()
 	if !hasEnded(current.Servers.Get("later"), serversByAddress(current)) {
-		t.Error("the later life doesn't count as ended although another one has its address since")
+		t.Error("the newer incarnation does not count as ended although another server has registered at its address since")
 	}
 }
 
--- a/internal/shardmanager/manager.go
+++ b/internal/shardmanager/manager.go
@@ -1,6 +1,6 @@
-// Package shardmanager runs the manager of each key-divided service: it takes the
-// manager's lock in the store, drives the pure core in package shards, and
-// carries out what that asks for.
+// Package shardmanager runs the manager of each key-sharded service. It acquires the manager lock
+// in the store, drives the side-effect-free state machine in package shards, and executes the
+// commands that this returns.
 package shardmanager
 
 import (
@@ -21,64 +21,65 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// Orders carries orders to servers.
+// Orders sends orders to servers.
 type Orders interface {
-	// Grant gives a server keys or renews its hold on them.
+	// Grant grants keys to a server or renews an existing grant.
 	Grant(ctx context.Context, grant shards.Grant) shards.Outcome
-	// Release takes keys from a server and returns its handover.
+	// Release revokes keys from a server and returns the server's handover.
 	Release(ctx context.Context, release shards.Release) (shards.Outcome, string)
-	// Prune ends connections that are not needed any more.
+	// Prune closes connections that are no longer needed.
 	Prune(now time.Time)
 }
 
-// Notices tells the other nodes what is about to change.
+// Notices notifies other nodes of ownership and term changes without going through the store.
 type Notices interface {
-	// Moving announces ranges that are about to change hands.
+	// Moving announces ranges whose owner is about to change.
 	Moving(service string, epoch uint64, ranges []shards.Range)
-	// Written passes on what was just written to the store.
+	// Written sends an item that was just written to the store to other nodes.
 	Written(item topo.Item)
-	// Succeeded passes the map of a new term on to managers of earlier ones, which
-	// the store may not serve.
+	// Succeeded sends the map of a new term to the managers of earlier terms, because the store may
+	// not be serving them.
 	Succeeded(predecessors []shards.Author, item topo.Item)
-	// TermOver tells the service's present manager that this process sends no
-	// orders of a term, or of those before it, any more.
+	// TermOver notifies the service's current manager that this process sends no more orders of the
+	// given term or of earlier ones.
 	TermOver(service string, epoch uint64)
 }
 
 const (
-	lockTTL  = 2 * time.Second
-	lockKeep = 400 * time.Millisecond
-	// keepTimeout is how long one renewal may take: the store may have done it
-	// without an answer, and another call on another connection gets one.
-	keepTimeout  = 500 * time.Millisecond
-	keepRetry    = 20 * time.Millisecond
-	tickInterval = 50 * time.Millisecond
-	// lookInterval is the pause between two looks at servers that have not changed: what
-	// time alone changes of them is whether they are gone, warm or faster.
-	lookInterval  = 200 * time.Millisecond
-	pruneInterval = time.Second
-	releaseWait   = 6 * time.Second
-	campaignPause = 200 * time.Millisecond
-	// campaignStep is for how much longer than the next better node one waits
-	// before it campaigns, so that not all of them do; campaignSteps bounds that.
-	campaignStep  = 150 * time.Millisecond
-	campaignSteps = 6
-	// maxCampaignPause bounds the pause after campaigns that failed: each call
-	// costs, refused ones too.
+	lockTTL           = 2 * time.Second
+	lockRenewInterval = 400 * time.Millisecond
+	// renewTimeout bounds one renewal call: the store may have applied the renewal without
+	// responding, and a retry on another connection gets a response.
+	renewTimeout    = 500 * time.Millisecond
+	renewRetryPause = 20 * time.Millisecond
+	tickInterval    = 50 * time.Millisecond
+	// serverRefreshInterval is the pause between two evaluations of an unchanged set of servers.
+	// The passing of time alone changes only whether a server is gone or warm, and its estimated
+	// speed.
+	serverRefreshInterval = 200 * time.Millisecond
+	pruneInterval         = time.Second
+	releaseTimeout        = 6 * time.Second
+	retryPause            = 200 * time.Millisecond
+	// campaignStagger is the additional campaign delay for each node that ranks higher, so that not
+	// all nodes campaign at the same time; maxCampaignStaggers bounds the number of these steps.
+	campaignStagger     = 150 * time.Millisecond
+	maxCampaignStaggers = 6
+	// maxCampaignPause bounds the backoff after failed campaigns: every store call has a cost,
+	// including refused ones.
 	maxCampaignPause = 1200 * time.Millisecond
-	// settleTime is how long no server must have registered before the first map
-	// is made, and settleLimit how long that is waited for.
-	settleTime  = 1500 * time.Millisecond
-	settleLimit = 5 * time.Second
-	// goneGrace is how long a server whose entry is missing keeps its keys, since
-	// entries may lapse while the store is down and come back.
+	// The first map is made once no server has registered for registrationQuietPeriod, or
+	// maxRegistrationWait after the first registration at the latest.
+	registrationQuietPeriod = 1500 * time.Millisecond
+	maxRegistrationWait     = 5 * time.Second
+	// goneGrace is how long a server keeps its keys after its entry disappears, because entries may
+	// lapse during a store outage and be written again.
 	goneGrace = 900 * time.Millisecond
-	// outageAuthority is how long a manager that cannot reach the store renews
+	// outageAuthority is how long a manager that cannot reach the store continues to renew
 	// unchanged grants; shards.Options.PreviousAuthority must not be less.
 	outageAuthority = 60 * time.Second
 )
 
-// Config is what a manager needs.
+// Config holds the dependencies and settings of a Manager.
 type Config struct {
 	Self    view.Node
 	Store   topo.Store
@@ -86,50 +87,52 @@
 	Orders  Orders
 	Notices Notices
 	Options shards.Options
-	// Limits returns how many requests a second a server takes, if it names a limit; nil if
-	// no server does. It must not call back.
+	// Limits returns the rate limit of a server in requests per second, if it has announced one. It
+	// is nil if servers announce no limits. It must not call back into the manager.
 	Limits func(server string) (rate float64, limited bool)
-	// Clock measures what others count on: how long the lock lasts and for how long a manager
-	// may go on without the store. It must run while the machine is suspended.
+	// Clock measures the durations that other processes rely on: how long the lock is valid and how
+	// long a manager may continue without the store. It must keep running while the machine is
+	// suspended.
 	Clock  clock.Clock
 	Logger *zap.Logger
 }
 
-// Manager campaigns for one service's lock and manages its keys while it holds it.
+// Manager campaigns for one service's lock and assigns the service's keys while it holds the lock.
 type Manager struct {
 	config  Config
 	service string
 	logger  *zap.Logger
 
 	mutex sync.Mutex
-	// lastEpoch is the greatest epoch that this process has tried to begin.
+	// lastEpoch is the greatest epoch for which this process has campaigned.
 	lastEpoch uint64
-	// retiredEra is the store's era in which the last retirement was written.
+	// retiredEra is the store era in which the last retirement was written.
 	retiredEra int64
-	// era is the store's era that this manager saw last, outside of terms, and eraSince the
-	// clock's reading when it did so first.
-	era      int64
-	eraSince time.Duration
-	// term is the current time in office; nil without the lock.
+	// era is the newest store era seen outside of terms, and eraSeenAt the clock reading when it
+	// was first seen.
+	era       int64
+	eraSeenAt time.Duration
+	// term is the current term; nil while this node does not hold the lock.
 	term *term
 }
 
-// New returns a manager for a service.
+// New returns a manager for the given service.
 func New(config Config, service string) *Manager {
 	return &Manager{config: config, service: service, logger: config.Logger.With(zap.String("service", service))}
 }
 
-// Run campaigns and manages until the context ends; then it gives the lock up.
+// Run campaigns for the lock and manages the service's keys until the context ends; then it
+// releases the lock.
 func (m *Manager) Run(ctx context.Context) error {
-	pause := campaignPause
+	pause := retryPause
 	for ctx.Err() == nil {
-		m.disown(ctx)
-		if m.taken() {
-			periodic.Pause(ctx, campaignPause)
+		m.retirePastTerms(ctx)
+		if m.lockTaken() {
+			periodic.Pause(ctx, retryPause)
 			continue
 		}
 		periodic.Pause(ctx, m.campaignDelay())
-		if ctx.Err() != nil || m.taken() {
+		if ctx.Err() != nil || m.lockTaken() {
 			continue
 		}
 		elected, err := m.campaign(ctx, nil)
@@ -137,20 +140,21 @@
 			if !errors.Is(err, topo.ErrConflict) {
 				m.logger.Info("campaign failed", zap.Error(err))
 			}
-			periodic.Pause(ctx, pause+time.Duration(rand.Int64N(int64(campaignPause))))
+			periodic.Pause(ctx, pause+time.Duration(rand.Int64N(int64(retryPause))))
 			pause = min(2*pause, maxCampaignPause)
 			continue
 		}
-		pause = campaignPause
+		pause = retryPause
 		m.serve(ctx, elected)
 	}
 	return nil
 }
 
-// taken reports whether a manager holds the service's lock. One that held it in an earlier era
-// is given time to take it again, since it knows best who holds keys; that time begins when this
-// node has a copy of the new era, because the store may refuse calls before.
-func (m *Manager) taken() bool {
+// lockTaken reports whether a manager holds the service's lock. A manager that held it in an
+// earlier era gets time to acquire it again, because it has the most recent information on key
+// owners. That time begins when this node has a copy of the new era, because the store may refuse
+// calls until then.
+func (m *Manager) lockTaken() bool {
 	current := m.config.Views.Current()
 	held := current.Managers[m.service]
 	era := max(m.config.Store.Era(), topo.EraOf(current.Revision))
@@ -164,8 +168,8 @@
 	return m.inReclaimGrace(era) && current.MaySendOrders(m.service, owners.Author.Node, owners.Author.Process, int64(owners.Author.Epoch))
 }
 
-// campaignDelay is how long this node waits before it campaigns: the longer the
-// more nodes there are with a greater share of a processor.
+// campaignDelay returns how long this node waits before it campaigns. Nodes with a smaller share of
+// a processor wait longer.
 func (m *Manager) campaignDelay() time.Duration {
 	better := 0
 	for _, node := range m.config.Views.Current().Nodes.All() {
@@ -173,12 +177,12 @@
 			better++
 		}
 	}
-	delay := time.Duration(min(better, campaignSteps)) * campaignStep
-	return delay + time.Duration(rand.Int64N(int64(campaignStep/2)))
+	delay := time.Duration(min(better, maxCampaignStaggers)) * campaignStagger
+	return delay + time.Duration(rand.Int64N(int64(campaignStagger/2)))
 }
 
-// serve manages the keys until the lock is lost or the context ends. If the store is restored,
-// the next term follows without a pause.
+// serve manages the keys until the lock is lost or the context ends. After a restore of the store,
+// the next term follows immediately.
 func (m *Manager) serve(ctx context.Context, t *term) {
 	defer m.setTerm(nil)
 	for t != nil {
@@ -187,8 +191,8 @@
 	}
 }
 
-// serveTerm manages the keys for one term, and returns the one that continues it in a new era
-// of the store; nil if there is none.
+// serveTerm manages the keys for one term. It returns the term that continues it in a new store
+// era, or nil if there is none.
 func (m *Manager) serveTerm(ctx context.Context, t *term) *term {
 	var next *term
 	var reclaiming sync.WaitGroup
@@ -204,50 +208,51 @@
 		m.retire(ctx, t)
 		return nil
 	}
-	ending, cancelEnd := context.WithTimeout(context.Background(), lockKeep)
-	defer cancelEnd()
-	_ = m.config.Store.EndLease(ending, t.lock.lease)
+	releaseCtx, cancelRelease := context.WithTimeout(context.Background(), lockRenewInterval)
+	defer cancelRelease()
+	_ = m.config.Store.EndLease(releaseCtx, t.lock.lease)
 	return nil
 }
 
-// retire tells the next manager that a term which lost its lock sends no orders
-// any more, so that it need not wait for them.
+// retire announces to the next manager that a term which lost its lock sends no more orders, so
+// that the next manager need not wait for them to expire.
 func (m *Manager) retire(ctx context.Context, t *term) {
-	t.orders.Wait()
-	if !t.installed() {
-		// Without a map there were no orders, and nobody waits for them.
+	t.inFlight.Wait()
+	if !t.hasStoredMap() {
+		// Without a map, no orders were sent that another manager could wait for.
 		return
 	}
-	if wait := t.lateOrders(); wait > 0 {
-		m.logger.Info("retirement waits for late orders", zap.Uint64("epoch", t.epoch), zap.Duration("wait", wait))
+	if wait := t.delayedGrantsWait(); wait > 0 {
+		m.logger.Info("retirement waits for delayed grants", zap.Uint64("epoch", t.epoch), zap.Duration("wait", wait))
 		periodic.Pause(ctx, wait)
 	}
 	m.writeRetirement(ctx, t.epoch)
 }
 
-// writeRetirement writes that this node sends no orders of a term or of those
-// before it any more, and repeats that until it is done.
+// writeRetirement records in the store that this node sends no more orders of the given term or of
+// earlier ones. It retries until the write succeeds.
 func (m *Manager) writeRetirement(ctx context.Context, epoch uint64) {
 	retirement := view.Retirement{Process: m.config.Self.Process, Epoch: int64(epoch)}
 	value, err := json.Marshal(retirement)
 	if err != nil {
-		m.logger.Error("retirement not encoded", zap.Error(err))
+		m.logger.Error("failed to encode retirement", zap.Error(err))
 		return
 	}
 	key := view.RetirementKey(m.service, m.config.Self.Name)
 	for ctx.Err() == nil {
-		// The store may turn this node away, but not the present manager's.
+		// The store may refuse this node while it serves the current manager's node, so the manager
+		// is also notified directly.
 		m.config.Notices.TermOver(m.service, epoch)
 		var revision int64
 		revision, err = m.config.Store.Commit(ctx, topo.Transaction{Puts: []topo.Put{{Key: key, Value: value}}})
 		if err == nil {
 			m.retiredEra = topo.EraOf(revision)
-			// The store's word may take seconds to come back; it need not be written
-			// twice.
+			// The watch may report this write only seconds later. Recording it locally avoids
+			// writing it twice.
 			m.config.Views.ApplyRetirement(key, retirement)
 			break
 		}
-		periodic.Pause(ctx, campaignPause)
+		periodic.Pause(ctx, retryPause)
 	}
 	m.logger.Info("manager retired", zap.Uint64("epoch", epoch), zap.Error(err))
 }
@@ -258,7 +263,7 @@
 	m.term = t
 }
 
-// RecordLoad takes in what a node saw.
+// RecordLoad records the load that a node observed.
 func (m *Manager) RecordLoad(keys []uint32, weight float64, servers []ServerLoad) {
 	m.mutex.Lock()
 	t := m.term
@@ -268,11 +273,11 @@
 	}
 }
 
-// ServerLoad sums up what a node saw of one server.
+// ServerLoad summarizes the load that a node observed on one server.
 type ServerLoad struct {
 	Server discovery.ServerID
-	// Attempts counts requests that were answered or given up.
+	// Attempts counts requests that were answered or abandoned.
 	Attempts uint32
-	// Busy is for how long the server had them.
+	// Busy is the total time that the server had these requests.
 	Busy time.Duration
 }
--- a/internal/shardmanager/resign_test.go
+++ b/internal/shardmanager/resign_test.go
@@ -8,8 +8,9 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// Seen in the soak of planned work: the first manager ever was told to stop before it
-// had made a map, wrote one without ranges, and no node became a manager after that.
+// Guards against a map without ranges, which no manager can decode, written by a service's first
+// manager when it is stopped before it has made a map. No node could become manager after that.
+// Seen in the soak test of planned work.
 func TestManagerThatStopsBeforeItsFirstMapWritesNone(t *testing.T) {
 	store := memory.New()
 	held := func() bool {
@@ -19,20 +20,20 @@
 		}
 		return len(items) > 0
 	}
-	_, end := candidate(t, store, "n1")
+	_, end := startManager(t, store, "n1")
 	waitFor(t, "the first manager takes the lock", held)
 	end()
-	waitFor(t, "the first manager gives the lock back", func() bool { return !held() })
+	waitFor(t, "the first manager releases the lock", func() bool { return !held() })
 	items, _, err := store.List(t.Context(), view.OwnersKey(service, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, item := range items {
 		if _, err := shards.DecodeMap(item.Value); err != nil {
-			t.Errorf("a map that nobody can read was written: %v", err)
+			t.Errorf("an undecodable map was written: %v", err)
 		}
 	}
 	store.Write("servers/a", []byte("address a"))
-	sent, _ := candidate(t, store, "n2")
+	sent, _ := startManager(t, store, "n2")
 	waitFor(t, "the next manager grants", func() bool { return sent.count() > 0 })
 }
--- a/internal/shardmanager/restored.go
+++ b/internal/shardmanager/restored.go
@@ -13,25 +13,26 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// This file is about a store that was restored from an older copy: locks of earlier eras are
-// void, maps of earlier eras are unverified, and epochs of an era are above all earlier ones.
+// This file handles a store that was restored from an older copy: locks from earlier eras are void,
+// maps from earlier eras are unverified, and the epochs of an era are greater than those of all
+// earlier eras.
 
 const (
-	// reclaimGrace is how long the manager of an earlier era has to take its lock again.
+	// reclaimGrace is how long the manager of an earlier era has to acquire its lock again.
 	reclaimGrace = 1500 * time.Millisecond
-	// eraPollInterval is the pause between two looks at the store's era.
+	// eraPollInterval is the pause between two checks of the store era.
 	eraPollInterval = 20 * time.Millisecond
 )
 
-// errSucceeded means that another manager has written a map since the store was restored.
-var errSucceeded = errors.New("another manager has begun a term")
+// errNewerTerm reports that another manager has written a map since the store was restored.
+var errNewerTerm = errors.New("another manager has begun a term")
 
-// eraEpochs is how many epochs an era of the store has. The epochs of an era are above those
-// of all earlier ones, whose maps may be lost.
+// eraEpochs is the number of epochs in a store era. Each era has its own range, above the epochs of
+// all earlier eras, whose maps may be lost.
 const eraEpochs = 1 << 20
 
-// nextEpoch returns the epoch of a candidacy. An earlier attempt may still be carried out; its
-// epoch is not used again.
+// nextEpoch returns the epoch of a candidacy. It never returns an epoch twice, because the
+// transaction of an earlier candidacy may still be applied.
 func (m *Manager) nextEpoch(found *shards.Map, era int64) uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -43,19 +44,19 @@
 	return m.lastEpoch
 }
 
-// inReclaimGrace reports whether an era of the store began so lately, as this node knows, that its
-// earlier manager may still take the lock again.
+// inReclaimGrace reports whether this node first saw the given era so recently that the manager of
+// the earlier era may still acquire its lock again.
 func (m *Manager) inReclaimGrace(era int64) bool {
 	now := m.config.Clock()
 	if m.era != era {
-		m.era, m.eraSince = era, now
+		m.era, m.eraSeenAt = era, now
 	}
-	return now-m.eraSince < reclaimGrace
+	return now-m.eraSeenAt < reclaimGrace
 }
 
-// reclaim waits for a new era of the store, takes the lock again in it and returns the term
-// that continues the given one. It returns nil if the context ends or another manager has the
-// lock.
+// reclaim waits for a new store era, acquires the lock again in it and returns the term that
+// continues the given one. It returns nil if the context ends or another manager has written a map
+// in the new era.
 func (m *Manager) reclaim(ctx context.Context, t *term) *term {
 	for m.config.Store.Era() <= t.lock.era() {
 		periodic.Pause(ctx, eraPollInterval)
@@ -65,15 +66,15 @@
 	}
 	frozen := t.freeze()
 	m.logger.Warn("manager lock void, store was restored", zap.Uint64("epoch", t.epoch), zap.Int64("era", m.config.Store.Era()))
-	for pause := eraPollInterval; ctx.Err() == nil; pause = min(2*pause, campaignPause) {
+	for pause := eraPollInterval; ctx.Err() == nil; pause = min(2*pause, retryPause) {
 		next, err := m.campaign(ctx, frozen)
 		if err == nil {
-			t.ended()
+			t.endTerm()
 			return next
 		}
 		m.logger.Info("campaign in a new era failed", zap.Error(err))
-		if errors.Is(err, errSucceeded) {
-			t.ended()
+		if errors.Is(err, errNewerTerm) {
+			t.endTerm()
 			return nil
 		}
 		periodic.Pause(ctx, pause)
@@ -81,11 +82,11 @@
 	return nil
 }
 
-// lockVoid reports whether the store was restored since the term began.
+// lockVoid reports whether the store has been restored since the term began.
 func (t *term) lockVoid() bool { return t.manager.config.Store.Era() > t.lock.era() }
 
-// freeze makes the term renew what it granted and do nothing else, and returns the map that the
-// next term of this process may continue from; nil if there is none.
+// freeze restricts the term to renewing existing grants, and returns the map that the next term of
+// this process may continue from; nil if there is none.
 func (t *term) freeze() *shards.Map {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -95,8 +96,8 @@
 	return t.core.Freeze(t.now())
 }
 
-// readStaleLock returns the revision of a lock that was taken in an era before the given one; 0 if
-// there is none.
+// readStaleLock returns the revision of a lock that was acquired before the given era; 0 if there
+// is none.
 func (m *Manager) readStaleLock(ctx context.Context, era int64) (int64, error) {
 	if era == 0 {
 		return 0, nil
@@ -121,9 +122,9 @@
 	return 0, nil
 }
 
-// rememberedMap returns the newer one of an owner map of a restored store, nil if it has none,
-// and the one that this node knows. It is unverified.
-func (m *Manager) rememberedMap(restored *shards.Map) (*shards.Map, error) {
+// newestKnownMap returns the newer of the owner map of a restored store, which may be nil, and the
+// one known to this node. The result is marked unverified.
+func (m *Manager) newestKnownMap(restored *shards.Map) (*shards.Map, error) {
 	newest := &shards.Map{Service: m.service}
 	if restored != nil {
 		*newest = *restored
--- a/internal/shardmanager/restored_test.go
+++ b/internal/shardmanager/restored_test.go
@@ -35,16 +35,16 @@
 	return nil
 }
 
-// startedStore returns a store with a server and what it was before its first manager.
-func startedStore() (*memory.Store, memory.Saved) {
+// storeWithServer returns a store with one server, and a snapshot from before its first manager.
+func storeWithServer() (*memory.Store, memory.Saved) {
 	store := memory.New()
 	store.Write("servers/a", []byte("address a"))
 	return store, store.Save()
 }
 
 func TestManagerContinuesInANewEra(t *testing.T) {
-	store, saved := startedStore()
-	sent, _ := candidate(t, store, "n1")
+	store, saved := storeWithServer()
+	sent, _ := startManager(t, store, "n1")
 	waitFor(t, "the manager grants", func() bool { return sent.count() > 0 })
 	before := storedMap(t, store, 0)
 	store.Restore(saved)
@@ -62,31 +62,31 @@
 }
 
 func TestEpochsOfANewEraAreAboveLostOnes(t *testing.T) {
-	store, saved := startedStore()
+	store, saved := storeWithServer()
 	lost := uint64(0)
 	for _, name := range []string{"n1", "n2", "n3"} {
-		sent, end := candidate(t, store, name)
+		sent, end := startManager(t, store, name)
 		waitFor(t, name+" grants", func() bool { return sent.count() > 0 })
 		end()
 		waitFor(t, name+" has ended", func() bool { return storedMap(t, store, 0).Resigned })
 		lost = storedMap(t, store, 0).Epoch
 	}
 	store.Restore(saved)
-	candidate(t, store, "n4")
+	startManager(t, store, "n4")
 	waitFor(t, "the first manager of the new era has a map", func() bool { return storedMap(t, store, 1) != nil })
 	if found := storedMap(t, store, 1); found.Epoch <= lost {
-		t.Fatalf("epoch %d after %d was given out in what is lost", found.Epoch, lost)
+		t.Fatalf("epoch %d is not above epoch %d, which was used before the restore", found.Epoch, lost)
 	}
 }
 
-// recordedStore keeps the transactions that are sent to it.
-type recordedStore struct {
+// recordingStore records the transactions that are sent to it.
+type recordingStore struct {
 	topo.Store
 	mutex        sync.Mutex
 	transactions []topo.Transaction
 }
 
-func (r *recordedStore) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
+func (r *recordingStore) Commit(ctx context.Context, transaction topo.Transaction) (int64, error) {
 	r.mutex.Lock()
 	r.transactions = append(r.transactions, transaction)
 	r.mutex.Unlock()
@@ -94,19 +94,20 @@
 }
 
 func TestLateWritesOfAnEarlierEraLeaveTheMapAlone(t *testing.T) {
-	store, saved := startedStore()
-	recorded := &recordedStore{Store: store}
-	sent, end := candidate(t, recorded, "n1")
+	store, saved := storeWithServer()
+	recorded := &recordingStore{Store: store}
+	sent, end := startManager(t, recorded, "n1")
 	waitFor(t, "the first manager grants", func() bool { return sent.count() > 0 })
 	end()
 	waitFor(t, "the first manager has ended", func() bool { return storedMap(t, store, 0).Resigned })
 	store.Restore(saved)
-	candidate(t, store, "n2")
+	startManager(t, store, "n2")
 	waitFor(t, "the second manager has a verified map", func() bool {
 		current := storedMap(t, store, 1)
 		return current != nil && !current.Unverified && current.Author.Node == "n2"
 	})
-	// The numbers of the revisions recur, whatever they are.
+	// Worst case: revision numbers recur after the restore, so that all conditions of the late
+	// transaction hold.
 	for _, transaction := range recorded.transactions {
 		for index, condition := range transaction.Conditions {
 			items, _, _ := store.List(context.Background(), condition.Key)
@@ -129,10 +130,10 @@
 	}
 }
 
-// droppedChanges is a store whose new era does not reach a node's copy.
-type droppedChanges struct{ topo.Store }
+// stalledWatchStore is a store whose watch never reports the new era to a node.
+type stalledWatchStore struct{ topo.Store }
 
-func (d droppedChanges) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]topo.Event, int64, error) {
+func (d stalledWatchStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]topo.Event, int64, error) {
 	events, at, err := d.Store.Watch(ctx, prefix, after, wait)
 	if errors.Is(err, topo.ErrRestored) {
 		<-ctx.Done()
@@ -141,8 +142,8 @@
 }
 
 func TestLockOfALostTermIsReplacedBeforeTheNodeHasTheNewCopy(t *testing.T) {
-	store, saved := startedStore()
-	sent, _ := candidate(t, droppedChanges{store}, "n1")
+	store, saved := storeWithServer()
+	sent, _ := startManager(t, stalledWatchStore{store}, "n1")
 	waitFor(t, "the manager grants", func() bool { return sent.count() > 0 })
 	store.Restore(saved)
 	waitFor(t, "the manager has a map of the new era", func() bool { return storedMap(t, store, 1) != nil })
--- a/internal/shardmanager/retired_test.go
+++ b/internal/shardmanager/retired_test.go
@@ -13,20 +13,20 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// silentNotices tells nobody.
-type silentNotices struct{}
+// discardNotices discards all notices.
+type discardNotices struct{}
 
-func (silentNotices) Moving(string, uint64, []shards.Range) {}
-func (silentNotices) Written(topo.Item)                     {}
-func (silentNotices) Succeeded([]shards.Author, topo.Item)  {}
-func (silentNotices) TermOver(string, uint64)               {}
+func (discardNotices) Moving(string, uint64, []shards.Range) {}
+func (discardNotices) Written(topo.Item)                     {}
+func (discardNotices) Succeeded([]shards.Author, topo.Item)  {}
+func (discardNotices) TermOver(string, uint64)               {}
 
 func TestRetirementThatWasLostIsWrittenAgain(t *testing.T) {
 	ctx := context.Background()
 	store := memory.New()
 	views := view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, addressDocuments{}, zap.NewNop())
 	self := view.Node{Name: "n1", Process: "p1"}
-	retired := New(Config{Self: self, Store: store, Views: views, Notices: silentNotices{}, Clock: clock.Boot, Logger: zap.NewNop()}, "s")
+	retired := New(Config{Self: self, Store: store, Views: views, Notices: discardNotices{}, Clock: clock.Boot, Logger: zap.NewNop()}, "s")
 	saved := store.Save()
 	retired.writeRetirement(ctx, 1)
 	store.Restore(saved)
@@ -41,13 +41,13 @@
 	}
 	at := topo.RevisionIn(1, 1)
 	views.Apply([]topo.Event{{Item: topo.Item{Key: view.OwnersKey("s", 1), Value: encoded, Revision: at}}}, at)
-	retired.disown(ctx)
+	retired.retirePastTerms(ctx)
 	items, _, err := store.List(ctx, view.RetirementKey("s", self.Name))
 	if err != nil || len(items) != 1 {
 		t.Fatalf("%d retirements in the restored store, error %v, want 1", len(items), err)
 	}
 	writes := store.Calls("commit")
-	retired.disown(ctx)
+	retired.retirePastTerms(ctx)
 	if more := store.Calls("commit") - writes; more != 0 {
 		t.Errorf("%d more writes, want none", more)
 	}
@@ -57,16 +57,16 @@
 	store := memory.New()
 	views := view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, addressDocuments{}, zap.NewNop())
 	other := New(Config{Self: view.Node{Name: "n1", Process: "p1"}, Store: store, Views: views, Clock: clock.Boot, Logger: zap.NewNop()}, "s")
-	if other.taken() {
+	if other.lockTaken() {
 		t.Fatal("the lock counts as taken although nobody has it")
 	}
 	store.Restore(store.Save())
-	if !other.taken() {
-		t.Fatal("the lock counts as free although this node knows nothing of the new era")
+	if !other.lockTaken() {
+		t.Fatal("the lock counts as free although this node has no copy of the new era")
 	}
 	at := topo.RevisionIn(1, 1)
 	views.Apply(nil, at)
-	if other.taken() {
+	if other.lockTaken() {
 		t.Fatal("the lock counts as taken although nobody has it in the new era")
 	}
 }
--- a/internal/shardmanager/speed.go
+++ b/internal/shardmanager/speed.go
@@ -8,115 +8,115 @@
 )
 
 const (
-	// minAttempts is how many requests are needed to judge a server's speed.
+	// minAttempts is the number of requests needed before a server's speed counts for the mean of
+	// all servers.
 	minAttempts = 8
-	// priorAttempts is how many requests at the mean of all servers a server's
-	// own are mixed with, because few say little.
+	// priorAttempts is the weight, in requests, of the mean of all servers in the estimate of one
+	// server's speed, because a few requests give a poor estimate.
 	priorAttempts = 6
-	// speedMemory is how long requests count when a server's speed is judged;
-	// changeMemory is how long they count when a sudden change is looked for.
-	speedMemory  = 20 * time.Second
-	changeMemory = 2400 * time.Millisecond
-	// reportTime is the time that a first report stands for.
-	reportTime = 200 * time.Millisecond
-	// changeFactor is by how much a server's last requests must differ from the
-	// earlier ones, and minChange how many they must be, to be taken alone.
-	changeFactor = 2.5
-	minChange    = 3
-	// slowest and fastest bound how much of its slots' share a server gets.
-	slowest, fastest = 0.02, 2.5
-	// reducedPart is the part of its slots below which a server's capacity counts as reduced.
-	reducedPart = 0.1
+	// speedWindow is the time constant with which requests lose weight in the estimate of a
+	// server's speed; changeWindow is the one for detecting a sudden change.
+	speedWindow  = 20 * time.Second
+	changeWindow = 2400 * time.Millisecond
+	// reportInterval is the time that the first report of a server is assumed to cover.
+	reportInterval = 200 * time.Millisecond
+	// If the recent time per request differs from the long-term one by more than changeFactor, over
+	// at least minChangeAttempts requests, the long-term sums are replaced by the recent ones.
+	changeFactor      = 2.5
+	minChangeAttempts = 3
+	// minRelativeSpeed and maxRelativeSpeed bound a server's capacity relative to its slots.
+	minRelativeSpeed, maxRelativeSpeed = 0.02, 2.5
+	// reducedFraction is the fraction of its slots below which a server's capacity counts as
+	// reduced.
+	reducedFraction = 0.1
 )
 
-// fading sums up requests that count less the older they are.
-type fading struct {
-	memory      time.Duration
+// decayingSum sums requests with exponentially decaying weight.
+type decayingSum struct {
+	window      time.Duration
 	attempts    float64
 	busySeconds float64
-	// covered is the time that the sums stand for, in seconds; it grows towards
-	// memory.
+	// covered is the time in seconds that the sums represent; it approaches window.
 	covered float64
 }
 
-func (f *fading) record(elapsed time.Duration, load ServerLoad) {
-	fade := math.Exp(-elapsed.Seconds() / f.memory.Seconds())
-	f.covered = f.covered*fade + f.memory.Seconds()*(1-fade)
-	f.attempts = f.attempts*fade + float64(load.Attempts)
-	f.busySeconds = f.busySeconds*fade + load.Busy.Seconds()
+func (f *decayingSum) record(elapsed time.Duration, load ServerLoad) {
+	decay := math.Exp(-elapsed.Seconds() / f.window.Seconds())
+	f.covered = f.covered*decay + f.window.Seconds()*(1-decay)
+	f.attempts = f.attempts*decay + float64(load.Attempts)
+	f.busySeconds = f.busySeconds*decay + load.Busy.Seconds()
 }
 
-// workSeconds estimates how long a server with some slots works on a request. The
-// requests' times include queueing; but a server cannot have worked for longer
-// than its slots were there.
-func (f *fading) workSeconds(slots float64) float64 {
+// workSeconds estimates the time that a server with the given slots works on one request. Reported
+// times include queueing, but a server cannot have worked for longer than its slots were available.
+func (f *decayingSum) workSeconds(slots float64) float64 {
 	const tiny = 1e-6
 	working := min(f.busySeconds, slots*f.covered)
 	return max(working, tiny) / max(f.attempts, tiny)
 }
 
-// speed judges a server by its requests of the last seconds.
+// speed estimates a server's speed from its recent requests.
 type speed struct {
 	slots     float64
-	usual     fading
-	latest    fading
+	longTerm  decayingSum
+	recent    decayingSum
 	updatedAt time.Time
 }
 
 func newSpeed(slots int) *speed {
 	return &speed{
-		slots:  float64(max(1, slots)),
-		usual:  fading{memory: speedMemory},
-		latest: fading{memory: changeMemory},
+		slots:    float64(max(1, slots)),
+		longTerm: decayingSum{window: speedWindow},
+		recent:   decayingSum{window: changeWindow},
 	}
 }
 
 func (s *speed) record(now time.Time, load ServerLoad) {
-	elapsed := reportTime
+	elapsed := reportInterval
 	if !s.updatedAt.IsZero() {
 		elapsed = now.Sub(s.updatedAt)
 	}
 	s.updatedAt = now
-	s.usual.record(elapsed, load)
-	s.latest.record(elapsed, load)
-	if s.latest.attempts < minChange {
+	s.longTerm.record(elapsed, load)
+	s.recent.record(elapsed, load)
+	if s.recent.attempts < minChangeAttempts {
 		return
 	}
-	change := s.latest.workSeconds(s.slots) / s.usual.workSeconds(s.slots)
+	change := s.recent.workSeconds(s.slots) / s.longTerm.workSeconds(s.slots)
 	if change > changeFactor || change < 1/changeFactor {
-		s.usual.attempts = s.latest.attempts
-		s.usual.busySeconds = s.latest.busySeconds
-		s.usual.covered = s.latest.covered
+		s.longTerm.attempts = s.recent.attempts
+		s.longTerm.busySeconds = s.recent.busySeconds
+		s.longTerm.covered = s.recent.covered
 	}
 }
 
-// workingSlots estimates how many of the server's slots are busy.
-func (s *speed) workingSlots() float64 {
-	return min(s.slots, s.usual.busySeconds/max(s.usual.covered, reportTime.Seconds()))
+// busySlots estimates how many of the server's slots are busy.
+func (s *speed) busySlots() float64 {
+	return min(s.slots, s.longTerm.busySeconds/max(s.longTerm.covered, reportInterval.Seconds()))
 }
 
-// workSeconds is how long the server works on a request.
-func (s *speed) workSeconds() float64 { return s.usual.workSeconds(s.slots) }
+// workSeconds estimates the time that the server works on one request.
+func (s *speed) workSeconds() float64 { return s.longTerm.workSeconds(s.slots) }
 
-// speeds are those of a service's servers that requests were reported of.
+// speeds maps each server with reported requests to its speed estimate.
 type speeds map[discovery.ServerID]*speed
 
-// record takes in what a node saw of a server with some slots.
+// record adds a node's report of a server with the given slots.
 func (known speeds) record(now time.Time, slots int, load ServerLoad) {
-	judged := known[load.Server]
-	if judged == nil {
-		judged = newSpeed(slots)
-		known[load.Server] = judged
+	estimate := known[load.Server]
+	if estimate == nil {
+		estimate = newSpeed(slots)
+		known[load.Server] = estimate
 	}
-	judged.record(now, load)
+	estimate.record(now, load)
 }
 
-// meanWorkSeconds is how long the service's servers work on a request on average; false if
-// too little is known.
+// meanWorkSeconds returns the mean over the service's servers of the time that they work on one
+// request; false if too few requests have been reported.
 func (known speeds) meanWorkSeconds() (float64, bool) {
 	sum, count := 0.0, 0
 	for _, judged := range known {
-		if judged.usual.attempts >= minAttempts {
+		if judged.longTerm.attempts >= minAttempts {
 			sum += judged.workSeconds()
 			count++
 		}
@@ -124,57 +124,56 @@
 	return sum / float64(max(1, count)), count > 0
 }
 
-// limitUse is the part of its rate limit that a server is planned to get: requests come
-// unevenly.
-const limitUse = 0.8
+// plannedLimitUse is the fraction of its rate limit that a server is assigned, because requests
+// arrive unevenly.
+const plannedLimitUse = 0.8
 
-// capacityWithin bounds the capacity of a server with a rate limit, so that its part of all
-// requests stays below the limit. others is the capacity of the service's other servers, and
-// requestRate how many requests a second the service gets.
-func capacityWithin(limit, capacity, others, requestRate float64) float64 {
-	planned := limitUse * limit
+// capacityWithinLimit bounds the capacity of a server with a rate limit, so that its share of all
+// requests stays below the limit. others is the total capacity of the service's other servers, and
+// requestRate the service's requests per second.
+func capacityWithinLimit(limit, capacity, others, requestRate float64) float64 {
+	planned := plannedLimitUse * limit
 	if planned >= requestRate {
 		return capacity
 	}
-	return min(capacity, max(slowest, others*planned/(requestRate-planned)))
+	return min(capacity, max(minRelativeSpeed, others*planned/(requestRate-planned)))
 }
 
-// capacity estimates how much load a server should get from its slots and speed.
-// While there are slots to spare, fast servers get more than their share of the
-// throughput, because answers come sooner there.
+// capacity estimates how much load a server should get, from its slots and its speed. While slots
+// are idle, fast servers get more than their share of the throughput, because they respond sooner.
 func (known speeds) capacity(id discovery.ServerID, serverSlots int) float64 {
 	slots := float64(max(1, serverSlots))
-	judged := known[id]
-	if judged == nil || judged.usual.attempts < 1 {
+	estimate := known[id]
+	if estimate == nil || estimate.longTerm.attempts < 1 {
 		return slots
 	}
 	mean, enough := known.meanWorkSeconds()
 	if !enough {
 		return slots
 	}
-	working, all := 0.0, 0.0
+	busy, total := 0.0, 0.0
 	for _, other := range known {
-		all += other.slots
-		working += other.workingSlots()
+		total += other.slots
+		busy += other.busySlots()
 	}
-	attempts := judged.usual.attempts
-	own := (judged.workSeconds()*attempts + mean*priorAttempts) / (attempts + priorAttempts)
-	relative := math.Pow(mean/own, preference(working/all))
-	return slots * min(fastest, max(slowest, relative))
+	attempts := estimate.longTerm.attempts
+	own := (estimate.workSeconds()*attempts + mean*priorAttempts) / (attempts + priorAttempts)
+	relative := math.Pow(mean/own, speedExponent(busy/total))
+	return slots * min(maxRelativeSpeed, max(minRelativeSpeed, relative))
 }
 
-// isReduced reports whether a server has so little capacity, by its rate limit or its speed,
-// that the balance may leave it without requests.
+// isReduced reports whether a server's capacity is so small, because of its rate limit or its
+// speed, that balancing may leave it without requests.
 func isReduced(capacity float64, slots int) bool {
-	return capacity < reducedPart*float64(max(1, slots))
+	return capacity < reducedFraction*float64(max(1, slots))
 }
 
-// preference is the power to which speed counts: 2 with most slots idle, 1 (in
+// speedExponent is the exponent of a server's relative speed: 2 with most slots idle, 1 (in
 // proportion to the throughput) when the servers are nearly full.
-func preference(utilization float64) float64 {
+func speedExponent(utilization float64) float64 {
 	const idle, full = 0.4, 0.75
-	part := (utilization - idle) / (full - idle)
-	return 2 - min(1, max(0, part))
+	position := (utilization - idle) / (full - idle)
+	return 2 - min(1, max(0, position))
 }
 
 func (t *term) recordLoad(keys []uint32, weight float64, servers []ServerLoad) {
--- a/internal/shardmanager/speed_test.go
+++ b/internal/shardmanager/speed_test.go
@@ -10,7 +10,8 @@
 	"github.com/micahaven/micahaven/internal/discovery"
 )
 
-// Seen in the incident inc-da7f: servers many times slower kept their keys.
+// Guards against slow servers that keep their keys because only answered requests are counted. Seen
+// in the incident inc-da7f, with servers many times slower than the others.
 func TestSlowServerIsJudgedByRequestsItDidNotAnswer(t *testing.T) {
 	judged := newSpeed(2)
 	now := time.Now()
@@ -29,17 +30,17 @@
 	}
 	const threeTimes = 0.36
 	if work := judged.workSeconds(); work < threeTimes {
-		t.Fatalf("after five requests that were given up after 1 s, work takes %.3f s, want %.2f", work, threeTimes)
+		t.Fatalf("after five requests that were abandoned after 1 s, work takes %.3f s, want %.2f", work, threeTimes)
 	}
 }
 
-// A server that queues requests is busy, not slow.
+// Guards against judging a server as slow because its requests queue.
 func TestQueueingIsNotSlowness(t *testing.T) {
 	judged := newSpeed(4)
 	now := time.Now()
 	for range 60 {
 		now = now.Add(200 * time.Millisecond)
-		// 15 requests in 0.2 s at 4 slots: 53 ms of work, 300 ms with the queue.
+		// 15 requests in 0.2 s at 4 slots: 53 ms of work each, 300 ms including the queue.
 		judged.record(now, ServerLoad{Server: "s", Attempts: 15, Busy: 15 * 300 * time.Millisecond})
 	}
 	if work := judged.workSeconds(); work > 0.08 {
@@ -47,9 +48,10 @@
 	}
 }
 
-// A third of the servers is 2.3 times faster than the others. Each gets one or two requests a second, work varies by half, and each is three times slower for 0.4 s now and
-// then. Judged by 6 s, with changes seen in 3 requests, the fast third got 0.54 of the
-// load.
+// Guards against a speed estimate that is too noisy at low request rates. A third of the servers is
+// 2.3 times faster than the others; each server gets one or two requests a second, the work varies
+// by half, and each server is three times slower for 0.4 s now and then. With a window of 6 s and
+// changes detected from 3 requests, the fast third got 0.54 of the load.
 func TestLastingSpeedIsLearnedFromFewRequests(t *testing.T) {
 	const (
 		servers, slots = 66, 3
@@ -108,14 +110,14 @@
 	}
 }
 
-// Guards against servers that lose their last requests without counting as reduced: by a
-// small rate limit, or by being many times slower than the others.
+// Guards against servers that lose their last requests without counting as reduced, because of a
+// small rate limit or because they are many times slower than the others.
 func TestLimitedAndSlowServersAreReduced(t *testing.T) {
 	const slots = 4
 	known := make(speeds)
 	now := time.Now()
 	for range 100 {
-		now = now.Add(reportTime)
+		now = now.Add(reportInterval)
 		for _, id := range []discovery.ServerID{"usual 1", "usual 2", "usual 3"} {
 			known.record(now, slots, ServerLoad{Server: id, Attempts: 4, Busy: 4 * 20 * time.Millisecond})
 		}
@@ -128,8 +130,8 @@
 		reduced  bool
 	}{
 		"usual":                  {usual, false},
-		"limited to 0.2/s":       {capacityWithin(0.2, usual, 3*usual, requestRate), true},
-		"limited to 40/s":        {capacityWithin(40, usual, 3*usual, requestRate), false},
+		"limited to 0.2/s":       {capacityWithinLimit(0.2, usual, 3*usual, requestRate), true},
+		"limited to 40/s":        {capacityWithinLimit(40, usual, 3*usual, requestRate), false},
 		"many times slower":      {known.capacity("slow", slots), true},
 		"nothing is known of it": {known.capacity("new", slots), false},
 	}
@@ -143,7 +145,7 @@
 func TestServerWithARateLimitGetsAPartThatTheLimitAllows(t *testing.T) {
 	const usual, others, requestRate = 2.0, 4.0, 40.0
 	for limit, want := range map[float64]float64{1: 1, 12: 12, 16: 13.4, 1000: 13.4} {
-		capacity := capacityWithin(limit, usual, others, requestRate)
+		capacity := capacityWithinLimit(limit, usual, others, requestRate)
 		part := requestRate * capacity / (others + capacity)
 		if part > want || part < 0.7*want {
 			t.Errorf("limit of %v requests a second: %.2f planned of %v, want %.2f to %.2f", limit, part, requestRate, 0.7*want, want)
--- a/internal/shardmanager/term.go
+++ b/internal/shardmanager/term.go
@@ -15,94 +15,95 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// term is one time in office. Its mutex guards the core and what follows; it is
-// never held while something is called that blocks.
+// term is the period for which this node holds the manager lock. The mutex guards the core and the
+// fields after it; it is never held during a blocking call.
 type term struct {
 	manager *Manager
 	lock    *lock
-	// epoch is that of the maps and fences of this term.
+	// epoch is the epoch of the maps and fences of this term.
 	epoch uint64
-	// start is the clock's reading at the begin of the term.
-	start time.Duration
-	ended context.CancelFunc
-	// calls is the context of orders to servers; endCalls ends them.
-	calls    context.Context
-	endCalls context.CancelFunc
+	// start is the clock reading at the start of the term.
+	start   time.Duration
+	endTerm context.CancelFunc
+	// ordersCtx is the parent context of orders to servers; cancelOrders cancels it.
+	ordersCtx    context.Context
+	cancelOrders context.CancelFunc
 
 	mutex       sync.Mutex
 	core        *shards.Manager
 	mapRevision int64
-	// written is the map that the store holds; nil before the first one.
+	// written is the map that the store holds; nil before the first commit.
 	written *shards.Map
-	// keptAt is the clock's reading when the last successful renewal of the lock was sent.
-	keptAt      time.Duration
-	storeFailed bool
-	speeds      speeds
-	firstSeen   time.Time
-	lastJoined  time.Time
-	known       map[discovery.ServerID]bool
-	// seen are the servers that the core was told of last, and seenAt when that was.
-	seen   view.ServerIndex
-	seenAt time.Time
-	// orders counts what is on its way to servers and the store.
-	orders sync.WaitGroup
+	// renewedAt is the clock reading when the last successful renewal of the lock was sent.
+	renewedAt    time.Duration
+	storeFailed  bool
+	speeds       speeds
+	firstSeen    time.Time
+	lastJoined   time.Time
+	knownServers map[discovery.ServerID]bool
+	// lastServers is the server index last passed to the core, and lastServersAt the time of that.
+	lastServers   view.ServerIndex
+	lastServersAt time.Time
+	// inFlight tracks orders and commits that have not completed.
+	inFlight sync.WaitGroup
 	// resigning is true once no more orders may be sent.
 	resigning bool
 }
 
 func newTerm(m *Manager, won *candidacy) *term {
 	t := &term{
-		manager: m,
-		lock:    &won.lock,
-		epoch:   won.epoch,
-		start:   m.config.Clock(),
-		core:    won.core,
-		keptAt:  won.lock.keptAt,
-		speeds:  make(speeds),
-		known:   make(map[discovery.ServerID]bool),
+		manager:      m,
+		lock:         &won.lock,
+		epoch:        won.epoch,
+		start:        m.config.Clock(),
+		core:         won.core,
+		renewedAt:    won.lock.renewedAt,
+		speeds:       make(speeds),
+		knownServers: make(map[discovery.ServerID]bool),
 	}
 	if won.written != nil {
-		// The map was written together with the lock.
+		// The map was written in the same transaction as the lock.
 		t.core.Installed(0)
 		t.mapRevision = won.lock.revision
 		t.written = won.written
-		item := topo.Item{Key: view.OwnersKey(m.service, won.era), Value: won.encoded, Revision: won.lock.revision}
+		item := topo.Item{Key: view.OwnersKey(m.service, won.era), Value: won.encodedMap, Revision: won.lock.revision}
 		m.config.Notices.Written(item)
 		m.config.Notices.Succeeded(won.written.Pending, item)
 	}
 	return t
 }
 
-// installed reports whether the store holds a map of this term.
-func (t *term) installed() bool {
+// hasStoredMap reports whether the store holds a map of this term.
+func (t *term) hasStoredMap() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.written != nil
 }
 
-// lookAtPredecessors tells the core which earlier managers send no orders any
-// more. The caller holds the mutex.
-func (t *term) lookAtPredecessors(current *view.View) {
+// updatePredecessors tells the core which earlier managers send no more orders. The caller holds
+// the mutex.
+func (t *term) updatePredecessors(current *view.View) {
 	self := t.manager.config.Self
 	t.core.AuthorsOver(t.now(), func(author shards.Author) bool {
-		// The orders of an earlier term of this process were waited for.
+		// An earlier term of this process has already waited for its own orders.
 		own := author.Node == self.Name && author.Process == self.Process
 		return own || !current.MaySendOrders(t.manager.service, author.Node, author.Process, int64(author.Epoch))
 	})
 }
 
-// now is how long the term has lasted, suspension of the machine included: servers and other
-// managers count on the length of grants and of this term.
+// now returns the time since the start of the term, including time during which the machine was
+// suspended, because servers and other managers rely on the duration of grants and of this term.
 func (t *term) now() time.Duration { return t.manager.config.Clock() - t.start }
 
-// run manages until the lock is lost or the parent context ends; then it resigns.
+// run manages the keys until the lock is lost or the parent context ends; in the latter case it
+// resigns.
 func (t *term) run(parent context.Context) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
 	defer cancel()
-	t.ended = cancel
-	t.calls, t.endCalls = context.WithCancel(ctx)
-	defer t.endCalls()
-	go t.keepLock(ctx)
+	t.endTerm = cancel
+	t.ordersCtx, t.cancelOrders = context.WithCancel(ctx)
+	defer t.cancelOrders()
+	go t.renewLock(ctx)
 	go func() {
 		_ = periodic.Run(ctx, pruneInterval, func(context.Context) { t.manager.config.Orders.Prune(time.Now()) })
 	}()
@@ -130,7 +131,7 @@
 	t.resigning = true
 }
 
-// step lets the core look at the world and carries out what it asks for.
+// step passes the current view to the core and executes the commands that the core returns.
 func (t *term) step(ctx context.Context) {
 	current := t.manager.config.Views.Current()
 	t.mutex.Lock()
@@ -141,56 +142,56 @@
 	if t.superseded(current) {
 		t.mutex.Unlock()
 		t.manager.logger.Warn("manager superseded", zap.Uint64("epoch", t.epoch), zap.Int64("revision", current.Revision))
-		t.ended()
+		t.endTerm()
 		return
 	}
-	if t.unkept() > outageAuthority {
+	if t.sinceRenewal() > outageAuthority {
 		t.mutex.Unlock()
-		t.ended()
+		t.endTerm()
 		return
 	}
-	t.lookAtServers(current)
-	t.lookAtPredecessors(current)
-	t.core.SetStoreHealthy(!t.storeFailed && t.unkept() < lockTTL)
-	if !t.core.Started() && t.settled() {
+	t.updateServers(current)
+	t.updatePredecessors(current)
+	t.core.SetStoreHealthy(!t.storeFailed && t.sinceRenewal() < lockTTL)
+	if !t.core.Started() && t.registrationsSettled() {
 		t.core.Start()
 	}
 	commands := t.core.Tick(t.now())
-	t.carryOut(ctx, commands)
+	t.execute(ctx, commands)
 	t.mutex.Unlock()
 }
 
-// superseded reports whether a later term has begun, as other nodes tell: the
-// store may serve them and not this node. The lock of this term is over then,
-// because the map of a term is written together with its lock.
+// superseded reports whether a newer term has begun, according to other nodes, which the store may
+// serve while it does not serve this node. The lock of this term is then lost, because the map of a
+// term is written together with its lock.
 func (t *term) superseded(current *view.View) bool {
 	owners := current.Owners[t.manager.service]
 	return owners.Owners != nil && owners.Epoch > t.epoch && owners.Author.Process != t.manager.config.Self.Process
 }
 
-// settled reports whether all servers have probably registered.
-func (t *term) settled() bool {
-	if len(t.known) == 0 {
+// registrationsSettled reports whether all servers have probably registered.
+func (t *term) registrationsSettled() bool {
+	if len(t.knownServers) == 0 {
 		return false
 	}
-	return time.Since(t.lastJoined) > settleTime || time.Since(t.firstSeen) > settleLimit
+	return time.Since(t.lastJoined) > registrationQuietPeriod || time.Since(t.firstSeen) > maxRegistrationWait
 }
 
-// lookAtServers tells the core what the view says of the service's servers. The
-// caller holds the mutex.
-func (t *term) lookAtServers(current *view.View) {
+// updateServers passes the current state of the service's servers to the core. The caller holds the
+// mutex.
+func (t *term) updateServers(current *view.View) {
 	now := time.Now()
-	if current.Servers == t.seen && now.Sub(t.seenAt) < lookInterval {
+	if current.Servers == t.lastServers && now.Sub(t.lastServersAt) < serverRefreshInterval {
 		return
 	}
-	t.seen, t.seenAt = current.Servers, now
+	t.lastServers, t.lastServersAt = current.Servers, now
 	var servers []shards.Server
 	var dead []discovery.ServerID
 	addresses := serversByAddress(current)
-	bounded := warmUpBounded(current, t.manager.service)
+	warmUpLimited := hasWarmUpLimit(current, t.manager.service)
 	for _, s := range current.Services[t.manager.service].All() {
-		if !t.known[s.ID] {
-			t.known[s.ID] = true
+		if !t.knownServers[s.ID] {
+			t.knownServers[s.ID] = true
 			t.lastJoined = now
 			if t.firstSeen.IsZero() {
 				t.firstSeen = now
@@ -202,16 +203,17 @@
 		}
 		capacity := t.speeds.capacity(s.ID, s.Slots)
 		servers = append(servers, shards.Server{
-			ID: s.ID, Address: s.Address, Version: s.Version, Accepting: !ended && accepts(now, current, s),
+			ID: s.ID, Address: s.Address, Version: s.Version, Accepting: !ended && acceptsKeys(now, current, s),
 			Capacity: capacity, Reduced: isReduced(capacity, s.Slots),
-			Warming: bounded && now.Before(current.WarmUntil(s)),
+			Warming: warmUpLimited && now.Before(current.WarmUntil(s)),
 		})
 	}
 	t.applyRateLimits(current, servers)
 	t.core.SetServers(servers, dead)
 }
 
-// applyRateLimits bounds the capacities of servers with a rate limit. The caller holds the mutex.
+// applyRateLimits bounds the capacities of servers that have a rate limit. The caller holds the
+// mutex.
 func (t *term) applyRateLimits(current *view.View, servers []shards.Server) {
 	if t.manager.config.Limits == nil {
 		return
@@ -229,13 +231,13 @@
 		if !limited {
 			continue
 		}
-		server.Capacity = capacityWithin(limit, server.Capacity, all-server.Capacity, requestRate)
+		server.Capacity = capacityWithinLimit(limit, server.Capacity, all-server.Capacity, requestRate)
 		server.Reduced = isReduced(server.Capacity, current.Servers.Get(server.ID).Slots)
 	}
 }
 
-// serversByAddress returns the servers whose entries are there, of those with one address
-// the one whose entry is the newest.
+// serversByAddress indexes the servers whose entries are present by their address. If several share
+// an address, the one with the newest entry is used.
 func serversByAddress(current *view.View) map[string]*view.Server {
 	addresses := make(map[string]*view.Server, current.Servers.Len())
 	for _, s := range current.Servers.All() {
@@ -246,10 +248,10 @@
 	return addresses
 }
 
-// hasEnded reports whether a server whose entry is missing has surely ended, because it
-// registered again as a later life or another one has its address since. Its keys move at once: they need not wait for its
-// entry to come back (goneGrace). An entry that is older says nothing: it may be that of an
-// earlier life.
+// hasEnded reports whether a server whose entry is missing has certainly ended: it has registered
+// again as a newer incarnation, or another server has registered at its address since. Its keys
+// then move at once instead of waiting for its entry to return (goneGrace). An older entry at the
+// address proves nothing, because it may belong to an earlier incarnation.
 func hasEnded(s *view.Server, addresses map[string]*view.Server) bool {
 	if s.Ended {
 		return true
@@ -258,19 +260,19 @@
 	if s.GoneSince.IsZero() || other == nil || other.ID == s.ID {
 		return false
 	}
-	// A restored store may have the entry of an earlier server.
+	// In a restored store the entry may belong to an earlier server.
 	return other.Revision > s.Revision && topo.EraOf(other.Revision) == topo.EraOf(s.Revision)
 }
 
-// accepts reports whether a server may be given keys.
-func accepts(now time.Time, current *view.View, s *view.Server) bool {
+// acceptsKeys reports whether a server may be granted keys.
+func acceptsKeys(now time.Time, current *view.View, s *view.Server) bool {
 	_, evacuated := current.Evacuated(s.Zone)
 	return s.DrainingSince.IsZero() && !s.Gone(now, goneGrace) && !evacuated
 }
 
-// warmUpBounded reports whether a service's servers bear only so many requests a second
-// while they warm up.
-func warmUpBounded(current *view.View, name string) bool {
+// hasWarmUpLimit reports whether the request rate of a service's servers is limited while they warm
+// up.
+func hasWarmUpLimit(current *view.View, name string) bool {
 	if current.Table == nil {
 		return false
 	}
@@ -278,64 +280,65 @@
 	return service.WarmUpRate > 0
 }
 
-// carryOut starts everything the core asked for. The caller holds the mutex, so
-// that no order starts after the term stopped giving orders.
-func (t *term) carryOut(ctx context.Context, commands shards.Commands) {
+// execute starts all commands of the core. The caller holds the mutex, so that no order starts
+// after stopOrders.
+func (t *term) execute(ctx context.Context, commands shards.Commands) {
 	if len(commands.Moving) > 0 {
 		t.manager.config.Notices.Moving(t.manager.service, t.epoch, commands.Moving)
 	}
 	for _, r := range commands.Restored {
 		t.manager.logger.Info("range restored to its owner", zap.String("server", string(r.Owner)), zap.Uint32("first", r.First),
-			zap.Uint32("last", r.Last), zap.Uint64("fence", r.Fence), zap.Duration("store_unseen", t.unkept()))
+			zap.Uint32("last", r.Last), zap.Uint64("fence", r.Fence), zap.Duration("store_unseen", t.sinceRenewal()))
 	}
 	for _, release := range commands.Releases {
-		t.orders.Go(func() { t.release(ctx, release) })
+		t.inFlight.Go(func() { t.release(ctx, release) })
 	}
 	for _, grant := range commands.Grants {
-		t.orders.Go(func() { t.grant(grant) })
+		t.inFlight.Go(func() { t.grant(grant) })
 	}
 	if commands.Commit != nil {
-		t.orders.Go(func() { t.commit(ctx, commands.Commit.Map) })
+		t.inFlight.Go(func() { t.commit(ctx, commands.Commit.Map) })
 	}
 }
 
-// lateOrders is for how long grants that got no answer may still be carried out.
-func (t *term) lateOrders() time.Duration {
+// delayedGrantsWait returns how long grants that got no response may still be carried out by
+// servers.
+func (t *term) delayedGrantsWait() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.LateOrdersUntil() - t.now()
 }
 
 const (
-	// resignWait is how long a manager that steps down waits for its orders.
-	resignWait = 1200 * time.Millisecond
-	// releasesWait is after how much of that it gives up orders without an answer: a
-	// release waits for what runs on its keys, which may take far longer.
-	releasesWait = 800 * time.Millisecond
+	// resignTimeout bounds how long a manager that steps down waits for its orders.
+	resignTimeout = 1200 * time.Millisecond
+	// orderGracePeriod is how much of resignTimeout passes before orders without a response are
+	// cancelled: a release waits for running requests on its keys, which may take far longer.
+	orderGracePeriod = 800 * time.Millisecond
 )
 
-// resign writes that no order will follow, so that the next manager need not wait for
-// those of this one.
+// resign writes a map that declares that no more orders follow, so that the next manager need not
+// wait for the orders of this one.
 func (t *term) resign() {
-	ctx, cancel := context.WithTimeout(context.Background(), resignWait)
+	ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
 	defer cancel()
-	if !t.endOrders(ctx) || !t.writeResignation(ctx) {
-		t.manager.logger.Warn("manager ends without resigning", zap.Uint64("epoch", t.epoch))
+	if !t.drainOrders(ctx) || !t.writeResignation(ctx) {
+		t.manager.logger.Warn("manager stopped without resigning", zap.Uint64("epoch", t.epoch))
 		return
 	}
 	t.manager.logger.Info("manager resigned", zap.Uint64("epoch", t.epoch))
 }
 
-// endOrders waits until no order is on its way, and gives those up that take too long.
-// It reports whether none is.
-func (t *term) endOrders(ctx context.Context) bool {
+// drainOrders waits until no orders are in flight, cancels those that take too long, and reports
+// whether all have returned.
+func (t *term) drainOrders(ctx context.Context) bool {
 	done := make(chan struct{})
 	go func() {
-		t.orders.Wait()
+		t.inFlight.Wait()
 		close(done)
 	}()
-	hurry := time.AfterFunc(releasesWait, t.endCalls)
-	defer hurry.Stop()
+	forceCancel := time.AfterFunc(orderGracePeriod, t.cancelOrders)
+	defer forceCancel.Stop()
 	select {
 	case <-done:
 		return true
@@ -344,9 +347,9 @@
 	}
 }
 
-// writeResignation reports whether the store has the last word of this manager. One
-// without a map gave no orders, and a map without ranges could not be read by the next
-// manager: it writes nothing.
+// writeResignation reports whether the store has the final state of this manager. A manager without
+// a map has sent no orders, and the next manager could not decode a map without ranges, so in that
+// case it writes nothing.
 func (t *term) writeResignation(ctx context.Context) bool {
 	t.mutex.Lock()
 	if !t.core.Started() {
@@ -361,7 +364,7 @@
 
 func (t *term) grant(grant shards.Grant) {
 	sentAt := t.now()
-	bounded, cancel := context.WithTimeout(t.calls, t.manager.config.Options.CallTimeout)
+	bounded, cancel := context.WithTimeout(t.ordersCtx, t.manager.config.Options.CallTimeout)
 	defer cancel()
 	outcome := t.manager.config.Orders.Grant(bounded, grant)
 	ordersTotal.WithLabelValues(t.manager.service, "grant", outcome.String()).Inc()
@@ -371,18 +374,18 @@
 	}
 	t.mutex.Lock()
 	t.core.GrantDone(t.now(), shards.GrantResult{Grant: grant, SentAt: sentAt, Outcome: outcome})
-	// The fences of a term are above those of all terms before it. Without the store, this
-	// is how a manager learns of the next one.
-	over := outcome == shards.Superseded && t.storeFailed && shards.EpochOf(grant.Fence) == t.epoch
+	// The fences of a term are greater than those of all earlier terms. While the store is
+	// unavailable, a refusal by a server is how a manager learns of a newer term.
+	isSuperseded := outcome == shards.Superseded && t.storeFailed && shards.EpochOf(grant.Fence) == t.epoch
 	t.mutex.Unlock()
-	if over {
-		t.manager.logger.Warn("manager superseded, as a server tells", zap.Uint64("epoch", t.epoch), zap.String("server", string(grant.Owner)))
-		t.ended()
+	if isSuperseded {
+		t.manager.logger.Warn("manager superseded, reported by a server", zap.Uint64("epoch", t.epoch), zap.String("server", string(grant.Owner)))
+		t.endTerm()
 	}
 }
 
 func (t *term) release(ctx context.Context, release shards.Release) {
-	bounded, cancel := context.WithTimeout(t.calls, releaseWait)
+	bounded, cancel := context.WithTimeout(t.ordersCtx, releaseTimeout)
 	defer cancel()
 	startedAt := time.Now()
 	outcome, handover := t.manager.config.Orders.Release(bounded, release)
@@ -402,14 +405,14 @@
 	}
 }
 
-// commit writes the map if this manager still holds the lock and the map is the
-// one it knows, and reports whether it did. An unanswered write is settled by reading
-// before anything else.
+// commit writes the map if this manager still holds the lock and the stored map is the one that it
+// last wrote, and reports whether it did. If a write gets no response, its outcome is read from the
+// store before anything else.
 func (t *term) commit(ctx context.Context, written *shards.Map) bool {
 	encoded, err := written.Encode()
 	if err != nil {
-		t.manager.logger.Error("owner map not encoded", zap.Error(err))
-		t.ended()
+		t.manager.logger.Error("failed to encode owner map", zap.Error(err))
+		t.endTerm()
 		return false
 	}
 	t.mutex.Lock()
@@ -423,32 +426,32 @@
 	for ctx.Err() == nil && !t.lockVoid() {
 		revision, err := t.manager.config.Store.Commit(ctx, transaction)
 		if err != nil {
-			revision, err = t.settle(ctx, expected, encoded, err)
+			revision, err = t.resolveCommit(ctx, expected, encoded, err)
 		}
 		if err == nil && topo.EraOf(revision) != t.lock.era() {
-			// The lock is void, and so is what is written under it.
+			// The lock is void, and so is anything written under it.
 			return false
 		}
 		if err == nil {
 			t.manager.config.Notices.Written(topo.Item{Key: key, Value: encoded, Revision: revision})
-			t.committed(ctx, revision, written)
+			t.onCommitted(ctx, revision, written)
 			return true
 		}
 		if errors.Is(err, topo.ErrConflict) && !t.lockVoid() {
 			t.manager.logger.Warn("owner map changed by another manager", zap.Uint64("epoch", t.epoch))
-			t.ended()
+			t.endTerm()
 			return false
 		}
-		periodic.Pause(ctx, campaignPause)
+		periodic.Pause(ctx, retryPause)
 	}
 	return false
 }
 
-// mapKey is where the maps of this term are.
+// mapKey returns the store key of this term's maps.
 func (t *term) mapKey() string { return view.OwnersKey(t.manager.service, t.lock.era()) }
 
-// settle finds out whether a write that failed was done after all.
-func (t *term) settle(ctx context.Context, expected int64, encoded []byte, cause error) (int64, error) {
+// resolveCommit reads the store to find out whether a write that failed was applied after all.
+func (t *term) resolveCommit(ctx context.Context, expected int64, encoded []byte, cause error) (int64, error) {
 	key := t.mapKey()
 	items, _, err := t.manager.config.Store.List(ctx, key)
 	if err != nil {
@@ -466,21 +469,21 @@
 	return 0, cause
 }
 
-func (t *term) committed(ctx context.Context, revision int64, written *shards.Map) {
+func (t *term) onCommitted(ctx context.Context, revision int64, written *shards.Map) {
 	t.mutex.Lock()
 	t.mapRevision = revision
 	t.core.Committed(t.now())
 	before := t.written
 	t.written = written
 	t.mutex.Unlock()
-	t.logOwners(before, written)
+	t.logOwnerChanges(before, written)
 	commitsTotal.WithLabelValues(t.manager.service).Inc()
 	t.manager.logger.Info("owner map committed", zap.Int64("revision", revision), zap.Int("ranges", len(written.Ranges)))
 	t.step(ctx)
 }
 
-// logOwners writes a line for each range that has another owner than before.
-func (t *term) logOwners(before, after *shards.Map) {
+// logOwnerChanges logs each range whose owner or fence has changed.
+func (t *term) logOwnerChanges(before, after *shards.Map) {
 	for _, r := range after.Ranges {
 		if before != nil {
 			if known := before.Find(r.First); known.Owner == r.Owner && known.Fence == r.Fence {
