--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -43,7 +43,7 @@
 	}
 	if answer != nil && answer.Rest != nil {
 		// An answer that has begun is streamed for as long as its connection lasts.
-		bounds.Outlive()
+		bounds.Detach()
 		answer.Rest = &cancelingReader{answer.Rest, bounds.Release}
 		return answer, trace, nil
 	}
@@ -158,13 +158,13 @@
 // error answer is passed on. cause is why the last attempt failed.
 func (d *Dispatcher) finalError(ctx context.Context, request *Request, mayHaveRun bool, last *upstream.Answer, cause error) error {
 	switch {
-	case errors.Is(ctx.Err(), context.Canceled) && !ending.Ended(ctx):
+	case errors.Is(ctx.Err(), context.Canceled) && !ending.EndedByShutdown(ctx):
 		return ErrCanceled
 	case last != nil:
 		return nil
 	case !mayHaveRun:
 		return d.refusal(request)
-	case ending.Ended(ctx):
+	case ending.EndedByShutdown(ctx):
 		return errors.Wrapf(ErrNodeStopping, "%v", cause)
 	case ctx.Err() != nil:
 		return errors.Wrapf(ErrTimeout, "%v", cause)
--- a/internal/dispatch/handoff.go
+++ b/internal/dispatch/handoff.go
@@ -203,7 +203,7 @@
 // off. It must not be shutting down. For a key-divided service, its owner map must be at
 // least as new as the sender's and name an owner that is not warming up.
 func (d *Dispatcher) Takes(request *Request, to Destination) bool {
-	if _, stopping := d.ending.At(); stopping {
+	if _, stopping := d.ending.Deadline(); stopping {
 		return false
 	}
 	d.mutex.Lock()
--- a/internal/dispatch/reason.go
+++ b/internal/dispatch/reason.go
@@ -58,7 +58,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	reason, detail := d.whyNoServer(request)
-	if _, stopping := d.ending.At(); stopping {
+	if _, stopping := d.ending.Deadline(); stopping {
 		reason, detail = ReasonNodeStops, "the node stops; "+detail
 	}
 	return &Refusal{Reason: reason, Detail: detail, RetryAfter: d.retryAfter(reason, request)}
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -37,7 +37,7 @@
 // the node is shutting down, the node's end less answerMargin, whichever is earlier.
 func (d *Dispatcher) deadline(request *Request) time.Time {
 	deadline := request.deadline()
-	if at, stopping := d.ending.At(); stopping {
+	if at, stopping := d.ending.Deadline(); stopping {
 		return earlier(deadline, at.Add(-answerMargin))
 	}
 	return deadline
--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -41,9 +41,9 @@
 	time.AfterFunc(time.Until(deadline), e.expire)
 }
 
-// At returns the time by which requests must have ended, and false if the node is not shutting
-// down.
-func (e *Ending) At() (time.Time, bool) {
+// Deadline returns the time by which requests must have ended, and false if the node is not
+// shutting down.
+func (e *Ending) Deadline() (time.Time, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.deadline, !e.deadline.IsZero()
@@ -55,8 +55,8 @@
 	release context.CancelFunc
 }
 
-// Outlive lets the context continue beyond the node's shutdown.
-func (b Bounds) Outlive() { b.detach() }
+// Detach lets the context continue beyond the node's shutdown.
+func (b Bounds) Detach() { b.detach() }
 
 // Release cancels the context and frees its resources.
 func (b Bounds) Release() { b.release() }
@@ -74,5 +74,5 @@
 	}}
 }
 
-// Ended reports whether a context ended because of the node's shutdown.
-func Ended(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrShutdown) }
+// EndedByShutdown reports whether a context ended because of the node's shutdown.
+func EndedByShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrShutdown) }
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -31,7 +31,7 @@
 	defer afterBounds.Release()
 	<-after.Done()
 	for name, ctx := range map[string]context.Context{"before": before, "between": between, "after": after} {
-		if !ending.Ended(ctx) || !errors.Is(ctx.Err(), context.Canceled) {
+		if !ending.EndedByShutdown(ctx) || !errors.Is(ctx.Err(), context.Canceled) {
 			t.Errorf("%s: ended with %v because of %v", name, ctx.Err(), context.Cause(ctx))
 		}
 	}
@@ -49,10 +49,10 @@
 	leave()
 	<-timed.Done()
 	<-left.Done()
-	if ending.Ended(timed) || !errors.Is(timed.Err(), context.DeadlineExceeded) {
+	if ending.EndedByShutdown(timed) || !errors.Is(timed.Err(), context.DeadlineExceeded) {
 		t.Errorf("limit: %v", context.Cause(timed))
 	}
-	if ending.Ended(left) || !errors.Is(left.Err(), context.Canceled) {
+	if ending.EndedByShutdown(left) || !errors.Is(left.Err(), context.Canceled) {
 		t.Errorf("disconnected client: %v", context.Cause(left))
 	}
 }
@@ -63,13 +63,13 @@
 	defer bounds.Release()
 	other, otherBounds := end.Bound(context.Background(), time.Now().Add(later))
 	defer otherBounds.Release()
-	bounds.Outlive()
+	bounds.Detach()
 	end.Set(time.Now())
 	<-other.Done()
 	if ctx.Err() != nil {
 		t.Errorf("ended with %v", ctx.Err())
 	}
-	if at, stops := end.At(); !stops || at.IsZero() {
+	if at, stops := end.Deadline(); !stops || at.IsZero() {
 		t.Errorf("shutting down %v at %v", stops, at)
 	}
 }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -178,7 +178,7 @@
 		Reason:          wire.Reason_REASON_DEADLINE,
 		RetryAfterNanos: int64(noLeaderRetryAfter),
 	}
-	if ending.Ended(ctx) {
+	if ending.EndedByShutdown(ctx) {
 		response.Reason = wire.Reason_REASON_STOPPING
 	}
 	if mayHaveRun {
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -147,7 +147,7 @@
 	options.Hold = min(options.Hold, time.Duration(settings.MaxHoldMillis)*time.Millisecond)
 	n.managers = newManagers(shardmanager.Config{
 		Self: self, Store: platform.Store, Views: n.views, Orders: &relayedOrders{platform.Orders, n.peers}, Notices: n.peers, Options: options,
-		Limits: n.peers.serverLimits.Observed, Clock: clock.Boot, Logger: logger,
+		RateLimit: n.peers.serverLimits.Observed, Clock: clock.Boot, Logger: logger,
 	})
 	n.peers.managers = n.managers
 	n.registration = &registration{self: self, store: platform.Store, logger: logger, regained: n.mirror.Resume}
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -116,15 +116,15 @@
 	return &wire.Envelope{Body: &wire.Envelope_StoreItem{StoreItem: item}}
 }
 
-// Written implements shardmanager.Notices.
-func (p *peers) Written(item topo.Item) {
+// PublishItem implements shardmanager.Notices.
+func (p *peers) PublishItem(item topo.Item) {
 	event, _ := p.mirror.ApplyPushed(topo.Event{Item: item})
 	p.toHeads(itemEnvelope(event, true))
 	p.toFollowers(itemEnvelope(event, false))
 }
 
-// Succeeded implements shardmanager.Notices.
-func (p *peers) Succeeded(predecessors []shards.Author, item topo.Item) {
+// NotifyPredecessors implements shardmanager.Notices.
+func (p *peers) NotifyPredecessors(predecessors []shards.Author, item topo.Item) {
 	nodes := p.views.Current().Nodes
 	for _, author := range predecessors {
 		if node, known := nodes.Lookup(author.Node); known && node.Name != p.self.Name {
--- a/internal/shardmanager/campaign_test.go
+++ b/internal/shardmanager/campaign_test.go
@@ -59,10 +59,10 @@
 
 type notices struct{}
 
-func (notices) Moving(string, uint64, []shards.Range) {}
-func (notices) Written(topo.Item)                     {}
-func (notices) Succeeded([]shards.Author, topo.Item)  {}
-func (notices) TermOver(string, uint64)               {}
+func (notices) Moving(string, uint64, []shards.Range)         {}
+func (notices) PublishItem(topo.Item)                         {}
+func (notices) NotifyPredecessors([]shards.Author, topo.Item) {}
+func (notices) TermOver(string, uint64)                       {}
 
 // startManager runs a manager on a node of its own. It returns its orders and a function that stops
 // it.
@@ -245,7 +245,7 @@
 	other *view.Builder
 }
 
-func (l linkedNotices) Succeeded(_ []shards.Author, item topo.Item) {
+func (l linkedNotices) NotifyPredecessors(_ []shards.Author, item topo.Item) {
 	l.other.Apply([]topo.Event{{Item: item}}, l.other.Current().Revision)
 }
 
--- a/internal/shardmanager/manager.go
+++ b/internal/shardmanager/manager.go
@@ -35,11 +35,11 @@
 type Notices interface {
 	// Moving announces ranges whose owner is about to change.
 	Moving(service string, epoch uint64, ranges []shards.Range)
-	// Written sends an item that was just written to the store to other nodes.
-	Written(item topo.Item)
-	// Succeeded sends the map of a new term to the managers of earlier terms, because the store may
-	// not be serving them.
-	Succeeded(predecessors []shards.Author, item topo.Item)
+	// PublishItem sends an item that was just written to the store to other nodes.
+	PublishItem(item topo.Item)
+	// NotifyPredecessors sends the map of a new term to the managers of earlier terms, because the
+	// store may not be serving them.
+	NotifyPredecessors(predecessors []shards.Author, item topo.Item)
 	// TermOver notifies the service's current manager that this process sends no more orders of the
 	// given term or of earlier ones.
 	TermOver(service string, epoch uint64)
@@ -87,9 +87,9 @@
 	Orders  Orders
 	Notices Notices
 	Options shards.Options
-	// Limits returns the rate limit of a server in requests per second, if it has announced one. It
-	// is nil if servers announce no limits. It must not call back into the manager.
-	Limits func(server string) (rate float64, limited bool)
+	// RateLimit returns the rate limit of a server in requests per second, if it has announced one.
+	// It is nil if servers announce no limits. It must not call back into the manager.
+	RateLimit func(server string) (rate float64, limited bool)
 	// Clock measures the durations that other processes rely on: how long the lock is valid and how
 	// long a manager may continue without the store. It must keep running while the machine is
 	// suspended.
--- a/internal/shardmanager/retired_test.go
+++ b/internal/shardmanager/retired_test.go
@@ -16,10 +16,10 @@
 // discardNotices discards all notices.
 type discardNotices struct{}
 
-func (discardNotices) Moving(string, uint64, []shards.Range) {}
-func (discardNotices) Written(topo.Item)                     {}
-func (discardNotices) Succeeded([]shards.Author, topo.Item)  {}
-func (discardNotices) TermOver(string, uint64)               {}
+func (discardNotices) Moving(string, uint64, []shards.Range)         {}
+func (discardNotices) PublishItem(topo.Item)                         {}
+func (discardNotices) NotifyPredecessors([]shards.Author, topo.Item) {}
+func (discardNotices) TermOver(string, uint64)                       {}
 
 func TestRetirementThatWasLostIsWrittenAgain(t *testing.T) {
 	ctx := context.Background()
--- a/internal/shardmanager/term.go
+++ b/internal/shardmanager/term.go
@@ -67,8 +67,8 @@
 		t.mapRevision = won.lock.revision
 		t.written = won.written
 		item := topo.Item{Key: view.OwnersKey(m.service, won.era), Value: won.encodedMap, Revision: won.lock.revision}
-		m.config.Notices.Written(item)
-		m.config.Notices.Succeeded(won.written.Pending, item)
+		m.config.Notices.PublishItem(item)
+		m.config.Notices.NotifyPredecessors(won.written.Pending, item)
 	}
 	return t
 }
@@ -215,7 +215,7 @@
 // applyRateLimits bounds the capacities of servers that have a rate limit. The caller holds the
 // mutex.
 func (t *term) applyRateLimits(current *view.View, servers []shards.Server) {
-	if t.manager.config.Limits == nil {
+	if t.manager.config.RateLimit == nil {
 		return
 	}
 	all := 0.0
@@ -227,7 +227,7 @@
 	requestRate := t.core.RequestRate(t.now())
 	for index := range servers {
 		server := &servers[index]
-		limit, limited := t.manager.config.Limits(string(server.ID))
+		limit, limited := t.manager.config.RateLimit(string(server.ID))
 		if !limited {
 			continue
 		}
@@ -433,7 +433,7 @@
 			return false
 		}
 		if err == nil {
-			t.manager.config.Notices.Written(topo.Item{Key: key, Value: encoded, Revision: revision})
+			t.manager.config.Notices.PublishItem(topo.Item{Key: key, Value: encoded, Revision: revision})
 			t.onCommitted(ctx, revision, written)
 			return true
 		}
