--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -1,10 +1,12 @@
-// Package handoff passes requests from the node that read them to the home of their
-// server, over one multiplexed connection between the two, and answers back.
+// Package handoff forwards requests from the node that received them to the home node of the
+// target server, and forwards the responses back. All requests between two nodes share one
+// multiplexed connection.
 //
-// A request that must run at most once goes in two steps: the home says when it has a
-// place at the server, and sends it only after the sender's go. Until then a home that
-// dies, freezes or is cut off has certainly not sent it, and the sender may send it by
-// another way.
+// A request that must run at most once takes two steps: the home node announces when it has
+// a slot at the server (STEP_READY), and sends the request only after the sending node's
+// go-ahead (STEP_GO). Until the go-ahead, a home node that crashes, freezes or is
+// partitioned has certainly not sent the request, so the sending node may safely use another
+// route.
 package handoff
 
 import (
@@ -19,46 +21,49 @@
 )
 
 const (
-	// ackWithin is how long a home may take to say that it has a request: above the pauses
-	// of a node whose share of a processor is used up for a tenth of a second, and short
-	// enough to leave the caller time for another way.
-	ackWithin = 200 * time.Millisecond
-	// ackAfter is when a home says so if it has not said before that it sends the request.
-	ackAfter = 50 * time.Millisecond
-	// aliveEvery is the pause between two words of a home that works on a request, and
-	// silentAfter when a home that said nothing counts as lost. Each word wakes two
-	// processes; most requests are answered before the first.
-	aliveEvery  = 400 * time.Millisecond
-	silentAfter = time.Second
-	// goWithin is how long a home keeps a place at a server for a request whose go does
-	// not come: some round trips, and the pause of a node as above.
-	goWithin = 150 * time.Millisecond
-	// hopMargin is what a home gets less of a request's time, so that its own answer that
-	// the time is over arrives before the sender's time is.
+	// ackTimeout is how long a home node may take to acknowledge a request. It exceeds the
+	// pause of a node whose CPU quota is used up for a tenth of a second, and is short
+	// enough to leave the caller time for another route.
+	ackTimeout = 200 * time.Millisecond
+	// ackDelay is when a home node acknowledges a request, unless it has already announced
+	// that it sends the request.
+	ackDelay = 50 * time.Millisecond
+	// keepaliveInterval is the interval between keepalives of a home node that is working on
+	// a request, and keepaliveTimeout is the silence after which the home node counts as
+	// lost. Each keepalive wakes two processes; most requests are answered before the first.
+	keepaliveInterval = 400 * time.Millisecond
+	keepaliveTimeout  = time.Second
+	// goAheadTimeout is how long a home node reserves a slot at a server for a request whose
+	// go-ahead has not arrived: a few round trips plus the CPU quota pause described at
+	// ackTimeout.
+	goAheadTimeout = 150 * time.Millisecond
+	// hopMargin is subtracted from the time that a home node gets for a request, so that its
+	// own timeout response arrives before the sending node times out.
 	hopMargin = 20 * time.Millisecond
 
-	// chunkBytes is the size of a frame with a part of an answer: small enough that others
-	// on the connection do not wait for it (13 ms on 10 Mbit/s).
+	// chunkBytes is the size of a frame with a part of a response body. It is small enough
+	// not to delay other requests on the connection noticeably (13 ms on 10 Mbit/s).
 	chunkBytes = 16 << 10
-	// window is how many chunks may be on their way before the sender has taken the first;
-	// below the buffer of a stream.
-	window = 16
-	// maxCollected is how much of an answer is read before it is passed on, as with
-	// answers of servers.
-	maxCollected = 256 << 10
+	// chunkWindow is how many chunks may be in flight before the sending node has consumed
+	// the first. It is smaller than the receive buffer of a stream.
+	chunkWindow = 16
+	// maxBufferedBody is how much of a response is buffered before it is passed on, as for
+	// responses received directly from servers.
+	maxBufferedBody = 256 << 10
 )
 
-func step(what wire.HandoffStep_Step, detail string) *wire.Envelope {
-	return &wire.Envelope{Body: &wire.Envelope_HandoffStep{HandoffStep: &wire.HandoffStep{Step: what, Detail: []byte(detail)}}}
+func stepEnvelope(kind wire.HandoffStep_Step, detail string) *wire.Envelope {
+	return &wire.Envelope{Body: &wire.Envelope_HandoffStep{HandoffStep: &wire.HandoffStep{Step: kind, Detail: []byte(detail)}}}
 }
 
-// encodeRequest writes a request for its home. limit is when it has to be answered.
-func encodeRequest(request *dispatch.Request, limit time.Time, to dispatch.Destination) *wire.Envelope {
+// encodeRequest encodes a request for its home node. respondBy is the time by which it has to be
+// answered.
+func encodeRequest(request *dispatch.Request, respondBy time.Time, to dispatch.Destination) *wire.Envelope {
 	handoff := &wire.Handoff{
 		Service: request.Service, Server: string(to.Server), MapRevision: to.MapRevision, TableVersion: to.TableVersion,
 		Method: []byte(request.Method), Uri: []byte(request.URI), Host: []byte(request.Host), Body: request.Body,
 		RequestId: []byte(request.ID), Key: request.Key, HasKey: request.HasKey,
-		AgeMicros: time.Since(request.ArrivedAt).Microseconds(), LeftMicros: (time.Until(limit) - hopMargin).Microseconds(),
+		AgeMicros: time.Since(request.ArrivedAt).Microseconds(), LeftMicros: (time.Until(respondBy) - hopMargin).Microseconds(),
 		NeedsGo:  !request.Route.Repeatable,
 		Priority: int32(request.Priority),
 		Caller:   []byte(request.Caller), CallerMicros: time.Until(request.Deadline).Microseconds(),
--- a/internal/handoff/home.go
+++ b/internal/handoff/home.go
@@ -19,47 +19,50 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// Dispatcher is what a home needs of dispatch.Dispatcher.
+// Dispatcher is the part of dispatch.Dispatcher that Home uses.
 type Dispatcher interface {
 	Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error)
 	Takes(request *dispatch.Request, to dispatch.Destination) bool
 	TakeHome(server discovery.ServerID)
 }
 
-// Home takes requests over from other nodes. It is safe for concurrent use.
+// Home handles requests that other nodes hand off to this one. It is safe for concurrent
+// use.
 type Home struct {
 	views      *view.Builder
 	dispatcher Dispatcher
 	logger     *zap.Logger
 
 	mutex    sync.Mutex
-	active   map[*taken]struct{}
+	active   map[*task]struct{}
 	stopping bool
 }
 
-// NewHome returns the home that a node is to servers.
+// NewHome returns the handler of requests that are handed off to this node.
 func NewHome(views *view.Builder, dispatcher Dispatcher, logger *zap.Logger) *Home {
-	return &Home{views: views, dispatcher: dispatcher, logger: logger, active: make(map[*taken]struct{})}
+	return &Home{views: views, dispatcher: dispatcher, logger: logger, active: make(map[*task]struct{})}
 }
 
-// Stop gives requests that wait for a server back to their senders, and takes no more.
+// Stop returns the requests that are still queued for a server to their sending nodes, and
+// refuses new ones.
 func (h *Home) Stop() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.stopping = true
 	for t := range h.active {
-		t.giveBack()
+		t.returnToSender()
 	}
 }
 
-// Active returns how many requests of other nodes are being worked on.
+// Active returns the number of handed-off requests in progress.
 func (h *Home) Active() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return len(h.active)
 }
 
-func (h *Home) add(t *taken) bool {
+// add registers a task. It returns false if this node is stopping.
+func (h *Home) add(t *task) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.stopping {
@@ -70,19 +73,19 @@
 	return true
 }
 
-func (h *Home) remove(t *taken) {
+func (h *Home) remove(t *task) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	delete(h.active, t)
 	takenOverActive.Dec()
 }
 
-// Decline answers for a node that is home to no server.
+// Decline rejects a request on behalf of a node that is home to no server.
 func Decline(stream *transport.Stream) {
-	stream.SendLast(step(wire.HandoffStep_STEP_NOT_TAKEN, "this node takes no requests"))
+	stream.SendLast(stepEnvelope(wire.HandoffStep_STEP_NOT_TAKEN, "this node takes no requests"))
 }
 
-// HandleStream implements transport.StreamHandler: it works on one request.
+// HandleStream implements transport.StreamHandler. It processes one handed-off request.
 func (h *Home) HandleStream(from *wire.Hello, stream *transport.Stream) {
 	defer stream.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -92,24 +95,24 @@
 		return
 	}
 	handoff := first.GetHandoff()
-	t := &taken{stream: stream, cancel: cancel, needsGo: handoff.GetNeedsGo(), goes: make(chan struct{}, 1), more: make(chan struct{}, window)}
+	t := &task{stream: stream, cancel: cancel, needsGo: handoff.GetNeedsGo(), goAhead: make(chan struct{}, 1), credits: make(chan struct{}, chunkWindow)}
 	if !h.add(t) {
-		stream.SendLast(step(wire.HandoffStep_STEP_LEAVING, ""))
+		stream.SendLast(stepEnvelope(wire.HandoffStep_STEP_LEAVING, ""))
 		return
 	}
 	defer h.remove(t)
-	request := h.decode(handoff)
+	request := h.decodeRequest(handoff)
 	if request == nil || !h.dispatcher.Takes(request, destination(handoff)) {
 		takenOverTotal.WithLabelValues(handoff.GetService(), "not taken").Inc()
-		stream.SendLast(step(wire.HandoffStep_STEP_NOT_TAKEN, "not this node's, as far as it knows"))
+		stream.SendLast(stepEnvelope(wire.HandoffStep_STEP_NOT_TAKEN, "not this node's, as far as it knows"))
 		return
 	}
-	request.IncomingHandoff = &dispatch.IncomingHandoff{From: from.GetNode(), Confirm: t.begin, AnnounceRetry: t.again}
-	go t.listen(ctx)
+	request.IncomingHandoff = &dispatch.IncomingHandoff{From: from.GetNode(), Confirm: t.confirm, AnnounceRetry: t.announceRetry}
+	go t.receiveLoop(ctx)
 	h.dispatcher.TakeHome(discovery.ServerID(handoff.GetServer()))
-	answer, trace, err := h.dispatcher.Do(ctx, request)
-	h.log(request, trace, answer, err)
-	t.tell(ctx, answer, trace, err)
+	response, trace, err := h.dispatcher.Do(ctx, request)
+	h.logOutcome(request, trace, response, err)
+	t.sendOutcome(ctx, response, trace, err)
 }
 
 func destination(handoff *wire.Handoff) dispatch.Destination {
@@ -118,9 +121,9 @@
 	}
 }
 
-// decode returns the request, or nil if this node's configuration is not the sender's: what
-// holds for the request might differ.
-func (h *Home) decode(handoff *wire.Handoff) *dispatch.Request {
+// decodeRequest returns the request, or nil if this node and the sending node have different
+// versions of the configuration: the route might have other settings in each.
+func (h *Home) decodeRequest(handoff *wire.Handoff) *dispatch.Request {
 	table := h.views.Current().Table
 	target, err := url.ParseRequestURI(string(handoff.GetUri()))
 	if err != nil || table == nil || table.Version() != handoff.GetTableVersion() {
@@ -142,188 +145,201 @@
 	}
 }
 
-func (h *Home) log(request *dispatch.Request, trace dispatch.Trace, answer *upstream.Answer, err error) {
+func (h *Home) logOutcome(request *dispatch.Request, trace dispatch.Trace, response *upstream.Answer, err error) {
 	fields := []zap.Field{
 		zap.String("request", request.ID), zap.String("from", request.IncomingHandoff.From), zap.String("service", request.Service),
 		zap.String("server", trace.Server), zap.Int("attempts", trace.Attempts), zap.Duration("queued", trace.Queued),
 		zap.Duration("at_servers", trace.AtServers),
 	}
 	if err != nil {
-		takenOverTotal.WithLabelValues(request.Service, resultOf(err)).Inc()
-		h.logger.Info("request taken over, failed", append(fields, zap.String("error", err.Error()))...)
+		takenOverTotal.WithLabelValues(request.Service, resultLabel(err)).Inc()
+		h.logger.Info("handed-off request failed", append(fields, zap.String("error", err.Error()))...)
 		return
 	}
 	takenOverTotal.WithLabelValues(request.Service, "answered").Inc()
-	h.logger.Info("request taken over, answered", append(fields, zap.Int("status", answer.Status))...)
+	h.logger.Info("handed-off request answered", append(fields, zap.Int("status", response.Status))...)
 }
 
-// Where a request that was taken over stands.
+// States of a handed-off request.
 const (
+	// queued: the request waits for a slot at a server.
 	queued int32 = iota
-	begun
-	givenBack
+	// confirmed: the request has a slot, and the go-ahead is requested if it needs one.
+	confirmed
+	// returned: the request was returned to its sending node and is never sent.
+	returned
 )
 
 var (
-	errGivenBack = errors.New("given back to its sender")
-	errNoGo      = errors.New("its sender did not let it go")
+	errReturned  = errors.New("given back to its sender")
+	errNoGoAhead = errors.New("its sender did not let it go")
 )
 
-// taken is one request that was taken over.
-type taken struct {
+// task is one handed-off request at its home node.
+type task struct {
 	stream  *transport.Stream
 	cancel  context.CancelFunc
 	needsGo bool
 	state   atomic.Int32
-	// unsent is true if the request got a place and was not sent for lack of a go.
+	// unsent is true if the request got a slot but was not sent, because no go-ahead arrived
+	// or none could be requested.
 	unsent atomic.Bool
-	// answering is true once the answer is being passed on, which says enough.
-	answering atomic.Bool
-	goes      chan struct{}
-	more      chan struct{}
+	// responding is true once the response is being sent, which makes keepalives redundant.
+	responding atomic.Bool
+	// goAhead and credits signal STEP_GO and STEP_MORE from the sending node.
+	goAhead chan struct{}
+	credits chan struct{}
 }
 
-// giveBack ends a request for which no server was chosen yet.
-func (t *taken) giveBack() {
-	if t.state.CompareAndSwap(queued, givenBack) {
-		t.stream.Send(step(wire.HandoffStep_STEP_LEAVING, ""))
+// returnToSender cancels a request for which no server was chosen yet, so that its sending
+// node can use another home node.
+func (t *task) returnToSender() {
+	if t.state.CompareAndSwap(queued, returned) {
+		t.stream.Send(stepEnvelope(wire.HandoffStep_STEP_LEAVING, ""))
 		t.cancel()
 	}
 }
 
-// begin implements dispatch.IncomingHandoff.Confirm: it asks the sender for the go if the
-// request needs one. Without it the request is never sent, also if the go comes later.
-func (t *taken) begin(ctx context.Context) error {
-	if !t.state.CompareAndSwap(queued, begun) {
-		return errGivenBack
+// confirm implements dispatch.IncomingHandoff.Confirm. It asks the sending node for the go-ahead if
+// the request needs one. Without it the request is never sent, even if the go-ahead arrives
+// later.
+func (t *task) confirm(ctx context.Context) error {
+	if !t.state.CompareAndSwap(queued, confirmed) {
+		return errReturned
 	}
-	if ctx.Err() != nil || !t.stream.Send(step(wire.HandoffStep_STEP_READY, "")) {
+	if ctx.Err() != nil || !t.stream.Send(stepEnvelope(wire.HandoffStep_STEP_READY, "")) {
 		t.unsent.Store(true)
-		return errNoGo
+		return errNoGoAhead
 	}
 	if !t.needsGo {
 		return nil
 	}
-	timer := time.NewTimer(goWithin)
+	timer := time.NewTimer(goAheadTimeout)
 	defer timer.Stop()
 	select {
-	case <-t.goes:
+	case <-t.goAhead:
 		return nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	t.unsent.Store(true)
-	return errNoGo
+	return errNoGoAhead
 }
 
-// again implements dispatch.IncomingHandoff.AnnounceRetry. A sender that is not told counts
-// one attempt less if this home is lost.
-func (t *taken) again() { t.stream.Send(step(wire.HandoffStep_STEP_READY, "")) }
+// announceRetry implements dispatch.IncomingHandoff.AnnounceRetry. If this home node is lost, the sending
+// node counts only the attempts that were announced to it.
+func (t *task) announceRetry() { t.stream.Send(stepEnvelope(wire.HandoffStep_STEP_READY, "")) }
 
-// listen takes the sender's steps and tells it that the home is alive. It ends the
-// request with the stream: its caller left, or the sender took another way.
-func (t *taken) listen(ctx context.Context) {
-	word := ackAfter
+// receiveLoop processes the steps of the sending node and sends keepalives to it. It cancels
+// the request when the stream ends, because then the caller has disconnected or the sending
+// node has chosen another route.
+func (t *task) receiveLoop(ctx context.Context) {
+	wait := ackDelay
 	for ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(ctx, word)
+		bounded, cancel := context.WithTimeout(ctx, wait)
 		envelope, err := t.stream.Receive(bounded)
 		cancel()
 		switch {
 		case errors.Is(err, context.DeadlineExceeded):
-			if !t.saidEnough(word == ackAfter) {
-				t.stream.Send(step(wire.HandoffStep_STEP_QUEUED, ""))
+			if !t.keepaliveRedundant(wait == ackDelay) {
+				t.stream.Send(stepEnvelope(wire.HandoffStep_STEP_QUEUED, ""))
 			}
-			word = aliveEvery
+			wait = keepaliveInterval
 		case err != nil:
 			t.cancel()
 			return
 		default:
-			t.take(envelope.GetHandoffStep().GetStep())
+			t.handleStep(envelope.GetHandoffStep().GetStep())
 		}
 	}
 }
 
-// saidEnough reports whether the sender needs no word now: the answer is on its way, the
-// sender waits for it whatever it hears, or it was told just now that the request is sent.
-func (t *taken) saidEnough(first bool) bool {
-	sent := t.state.Load() == begun
-	return t.answering.Load() || (sent && (first || t.needsGo))
+// keepaliveRedundant reports whether the sending node needs no keepalive now: the response
+// is on its way, the sending node waits for the response without a silence timeout, or it
+// was notified just now that the request is sent. first is true for the acknowledgement due
+// after ackDelay.
+func (t *task) keepaliveRedundant(first bool) bool {
+	sent := t.state.Load() == confirmed
+	return t.responding.Load() || (sent && (first || t.needsGo))
 }
 
-func (t *taken) take(what wire.HandoffStep_Step) {
-	var waiting chan struct{}
-	switch what {
+// handleStep passes a step of the sending node on to the goroutine that waits for it.
+func (t *task) handleStep(kind wire.HandoffStep_Step) {
+	var signal chan struct{}
+	switch kind {
 	case wire.HandoffStep_STEP_GO:
-		waiting = t.goes
+		signal = t.goAhead
 	case wire.HandoffStep_STEP_MORE:
-		waiting = t.more
+		signal = t.credits
 	default:
 		return
 	}
 	select {
-	case waiting <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
-		// More than the home waits for.
+		// The home node does not expect this many signals; drop the surplus.
 	}
 }
 
-// tell tells the sender how the request ended.
-func (t *taken) tell(ctx context.Context, answer *upstream.Answer, trace dispatch.Trace, err error) {
+// sendOutcome reports the outcome of the request to the sending node.
+func (t *task) sendOutcome(ctx context.Context, response *upstream.Answer, trace dispatch.Trace, err error) {
 	var refusal *dispatch.Refusal
 	switch {
-	case t.state.Load() == givenBack:
+	case t.state.Load() == returned:
 	case err == nil:
-		t.pass(ctx, answer, trace)
+		t.sendResponse(ctx, response, trace)
 	case t.unsent.Load():
-		t.stream.SendLast(step(wire.HandoffStep_STEP_NOT_TAKEN, err.Error()))
+		t.stream.SendLast(stepEnvelope(wire.HandoffStep_STEP_NOT_TAKEN, err.Error()))
 	case errors.As(err, &refusal) && refusal.Reason == dispatch.ReasonNodeStops:
-		t.stream.SendLast(step(wire.HandoffStep_STEP_LEAVING, ""))
+		t.stream.SendLast(stepEnvelope(wire.HandoffStep_STEP_LEAVING, ""))
 	case errors.As(err, &refusal):
 		t.stream.SendLast(encodeRefusal(refusal, trace))
 	case errors.Is(err, dispatch.ErrCanceled):
-		// The sender ended it.
+		// The sending node canceled the request and expects no reply.
 	default:
 		t.stream.SendLast(encodeFailure(err, trace))
 	}
 }
 
-// pass passes an answer on, in chunks if it is long.
-func (t *taken) pass(ctx context.Context, answer *upstream.Answer, trace dispatch.Trace) {
-	t.answering.Store(true)
-	begun := &wire.HandoffAnswer{Status: uint32(answer.Status), Fields: encodeHeader(answer.Header), Trace: encodeTrace(trace)}
-	body := answer.Body
+// sendResponse sends a response, split into chunks if it is long.
+func (t *task) sendResponse(ctx context.Context, response *upstream.Answer, trace dispatch.Trace) {
+	t.responding.Store(true)
+	head := &wire.HandoffAnswer{Status: uint32(response.Status), Fields: encodeHeader(response.Header), Trace: encodeTrace(trace)}
+	body := response.Body
 	first := min(len(body), chunkBytes)
-	begun.Body, body = body[:first], body[first:]
-	begun.Whole = len(body) == 0 && answer.Rest == nil
-	envelope := &wire.Envelope{Body: &wire.Envelope_HandoffAnswer{HandoffAnswer: begun}}
-	if begun.Whole {
+	head.Body, body = body[:first], body[first:]
+	head.Whole = len(body) == 0 && response.Rest == nil
+	envelope := &wire.Envelope{Body: &wire.Envelope_HandoffAnswer{HandoffAnswer: head}}
+	if head.Whole {
 		t.stream.SendLast(envelope)
 		return
 	}
-	chunks := &chunkWriter{ctx: ctx, taken: t, credit: window}
+	chunks := &chunkWriter{ctx: ctx, task: t, credit: chunkWindow}
 	var err error
 	if t.stream.SendWhole(ctx, envelope) {
 		err = chunks.write(body)
 	} else {
 		err = transport.ErrConnectionLost
 	}
-	if answer.Rest != nil {
+	if response.Rest != nil {
 		if err == nil {
-			_, err = io.CopyBuffer(chunks, onlyReader{answer.Rest}, make([]byte, chunkBytes))
+			_, err = io.CopyBuffer(chunks, readerOnly{response.Rest}, make([]byte, chunkBytes))
 		}
-		// It is at its end, or given up.
-		_ = answer.Rest.Close()
+		// The body has been read to its end or is abandoned, so the error does not matter.
+		_ = response.Rest.Close()
 	}
-	chunks.end(err)
+	chunks.finish(err)
 }
 
-// onlyReader hides other methods of a reader, so that it is read in pieces of the buffer.
-type onlyReader struct{ io.Reader }
+// readerOnly hides the other methods of a reader, such as WriteTo, so that io.CopyBuffer
+// reads it in pieces of the size of its buffer.
+type readerOnly struct{ io.Reader }
 
-// chunkWriter sends a body in chunks, as many ahead as the window allows.
+// chunkWriter sends a response body in chunks, with at most as many in flight as the window
+// allows.
 type chunkWriter struct {
 	ctx    context.Context
-	taken  *taken
+	task   *task
 	credit int
 }
 
@@ -333,7 +349,8 @@
 func (w *chunkWriter) write(body []byte) error {
 	for len(body) > 0 {
 		size := min(len(body), chunkBytes)
-		// The envelope is written later, and the caller may use its buffer again.
+		// The envelope is written to the connection later, when the caller may already have
+		// reused its buffer.
 		piece := append([]byte(nil), body[:size]...)
 		if err := w.send(&wire.HandoffChunk{Body: piece}); err != nil {
 			return err
@@ -346,21 +363,23 @@
 func (w *chunkWriter) send(chunk *wire.HandoffChunk) error {
 	if w.credit == 0 {
 		select {
-		case <-w.taken.more:
+		case <-w.task.credits:
 			w.credit++
 		case <-w.ctx.Done():
 			return w.ctx.Err()
 		}
 	}
 	w.credit--
-	if !w.taken.stream.SendWhole(w.ctx, &wire.Envelope{Body: &wire.Envelope_HandoffChunk{HandoffChunk: chunk}}) {
+	if !w.task.stream.SendWhole(w.ctx, &wire.Envelope{Body: &wire.Envelope_HandoffChunk{HandoffChunk: chunk}}) {
 		return transport.ErrConnectionLost
 	}
 	return nil
 }
 
-// end sends the last chunk; it says if the body before it is not whole.
-func (w *chunkWriter) end(cause error) {
-	// If it cannot be sent the stream's end says the same.
+// finish sends the last chunk, which is marked as broken if the body before it is
+// incomplete.
+func (w *chunkWriter) finish(cause error) {
+	// If the last chunk cannot be sent, the end of the stream tells the reader that the body
+	// is incomplete.
 	_ = w.send(&wire.HandoffChunk{Last: true, Broken: cause != nil})
 }
--- a/internal/handoff/home_test.go
+++ b/internal/handoff/home_test.go
@@ -22,19 +22,21 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// fakeDispatcher gives each request a place at once and then does what a test says.
+// fakeDispatcher assigns each request a slot after a delay and then runs the function of the
+// test.
 type fakeDispatcher struct {
-	// wait is for how long a request waits for its place.
-	wait time.Duration
-	do   func(ctx context.Context, request *dispatch.Request) (*upstream.Answer, error)
-	sent atomic.Int32
-	// ended receives how the context of each request that waits for its place ended.
+	// delay is how long a request waits for its slot.
+	delay time.Duration
+	do    func(ctx context.Context, request *dispatch.Request) (*upstream.Answer, error)
+	sent  atomic.Int32
+	// ended receives the context error of each request that is canceled while it waits for
+	// its slot.
 	ended chan error
 }
 
 func (f *fakeDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error) {
 	select {
-	case <-time.After(f.wait):
+	case <-time.After(f.delay):
 	case <-ctx.Done():
 		f.ended <- ctx.Err()
 		return nil, dispatch.Trace{}, dispatch.ErrCanceled
@@ -46,15 +48,15 @@
 	if f.do == nil {
 		return &upstream.Answer{Status: 200, Body: []byte("done")}, dispatch.Trace{}, nil
 	}
-	answer, err := f.do(ctx, request)
-	return answer, dispatch.Trace{}, err
+	response, err := f.do(ctx, request)
+	return response, dispatch.Trace{}, err
 }
 
 func (*fakeDispatcher) Takes(*dispatch.Request, dispatch.Destination) bool { return true }
 
 func (*fakeDispatcher) TakeHome(discovery.ServerID) {}
 
-// documents has one route for everything.
+// documents decodes a table with a single route that matches every path of host h.
 type documents struct{}
 
 const tableVersion = 7
@@ -72,9 +74,9 @@
 
 func (documents) Server(string, []byte) (discovery.Server, error) { return discovery.Server{}, nil }
 
-// homeNode is a transport.Handler with a home.
+// homeNode is a transport.Handler that passes streams to a Home.
 type homeNode struct {
-	script
+	scriptedHandler
 	*Home
 }
 
@@ -91,7 +93,7 @@
 	return node, home
 }
 
-// open opens a handover by hand.
+// open starts a handoff without a Sender, so that the test controls each step.
 func open(t *testing.T, client *transport.Client, node homes.Node, repeatable bool) *transport.Stream {
 	t.Helper()
 	request := newRequest(repeatable)
@@ -102,7 +104,7 @@
 	return stream
 }
 
-// awaitStep returns once the home says a step.
+// awaitStep returns once the home node sends one of the wanted steps.
 func awaitStep(t *testing.T, stream *transport.Stream, wanted ...wire.HandoffStep_Step) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -110,7 +112,7 @@
 	for {
 		envelope, err := stream.Receive(ctx)
 		if err != nil {
-			t.Fatalf("step %v did not come: %v", wanted, err)
+			t.Fatalf("step %v not received: %v", wanted, err)
 		}
 		if taken := envelope.GetHandoffStep(); taken != nil && slices.Contains(wanted, taken.GetStep()) {
 			return
@@ -118,41 +120,41 @@
 	}
 }
 
-// A request that must run at most once is sent only after the go, and never once its place
-// was freed because the go did not come.
+// A request that must run at most once is sent only after the go-ahead. If its slot was
+// released because the go-ahead did not arrive in time, a late go-ahead must not send it.
 func TestUnsafeRequestNeedsTheGo(t *testing.T) {
 	dispatcher := &fakeDispatcher{}
 	node, _ := newHome(t, dispatcher)
 	stream := open(t, newClient(t), node, false)
 	awaitStep(t, stream, wire.HandoffStep_STEP_READY)
 	awaitStep(t, stream, wire.HandoffStep_STEP_NOT_TAKEN)
-	stream.Send(step(wire.HandoffStep_STEP_GO, ""))
+	stream.Send(stepEnvelope(wire.HandoffStep_STEP_GO, ""))
 	time.Sleep(50 * time.Millisecond)
 	if sent := dispatcher.sent.Load(); sent != 0 {
-		t.Errorf("sent %d times without a go", sent)
+		t.Errorf("sent %d times without a go-ahead", sent)
 	}
 }
 
-// With the go the request is sent once, however often the go comes.
+// With the go-ahead the request is sent once, even if the go-ahead arrives twice.
 func TestUnsafeRequestIsSentOnce(t *testing.T) {
 	dispatcher := &fakeDispatcher{}
 	node, _ := newHome(t, dispatcher)
 	stream := open(t, newClient(t), node, false)
 	awaitStep(t, stream, wire.HandoffStep_STEP_READY)
-	stream.Send(step(wire.HandoffStep_STEP_GO, ""))
-	stream.Send(step(wire.HandoffStep_STEP_GO, ""))
+	stream.Send(stepEnvelope(wire.HandoffStep_STEP_GO, ""))
+	stream.Send(stepEnvelope(wire.HandoffStep_STEP_GO, ""))
 	if envelope, err := stream.Receive(t.Context()); err != nil || envelope.GetHandoffAnswer().GetStatus() != 200 {
 		t.Fatalf("got %v, error %v", envelope, err)
 	}
 	if sent := dispatcher.sent.Load(); sent != 1 {
-		t.Errorf("sent %d times", sent)
+		t.Errorf("sent %d times, want once", sent)
 	}
 }
 
-// A home that was frozen finds requests which their senders gave up meanwhile: it sends
-// none that must run at most once.
+// A home node that was frozen receives requests that their sending nodes have abandoned
+// meanwhile. It must send none that may run at most once.
 func TestReturningHomeSendsNothingThatWasGivenUp(t *testing.T) {
-	dispatcher := &fakeDispatcher{wait: time.Millisecond, ended: make(chan error, 100)}
+	dispatcher := &fakeDispatcher{delay: time.Millisecond, ended: make(chan error, 100)}
 	node, home := newHome(t, dispatcher)
 	client := newClient(t)
 	for range 100 {
@@ -161,12 +163,13 @@
 	waitUntil(t, func() bool { return home.Active() == 0 })
 	time.Sleep(50 * time.Millisecond)
 	if sent := dispatcher.sent.Load(); sent != 0 {
-		t.Errorf("sent %d requests that were given up", sent)
+		t.Errorf("sent %d abandoned requests", sent)
 	}
 }
 
-// A safe request needs no go, but one that its sender gave up while it waited for its place
-// is not sent either: it would be a repeat that no budget knows.
+// A safe request needs no go-ahead. One that its sending node abandoned while it waited for
+// a slot must not be sent either, because it would be a retry that no retry budget accounts
+// for.
 func TestSafeRequestThatWasGivenUpIsNotSent(t *testing.T) {
 	dispatcher := &lateDispatcher{began: make(chan error, 1)}
 	node, _ := newHome(t, dispatcher)
@@ -174,11 +177,11 @@
 	awaitStep(t, stream, wire.HandoffStep_STEP_QUEUED)
 	stream.Close()
 	if err := <-dispatcher.began; err == nil {
-		t.Error("a request that was given up was let go")
+		t.Error("an abandoned request was confirmed for sending")
 	}
 }
 
-// lateDispatcher finds a place for a request just when its sender has given it up.
+// lateDispatcher assigns a slot to a request just when its sending node has abandoned it.
 type lateDispatcher struct {
 	fakeDispatcher
 	began chan error
@@ -191,14 +194,15 @@
 	return nil, dispatch.Trace{}, dispatch.ErrCanceled
 }
 
-// A sender that ends its request, or is lost, ends it at the home within half a second.
+// If the sending node cancels a request or is lost, the home node cancels it within half a
+// second.
 func TestRequestsEndWithTheirSender(t *testing.T) {
 	for name, end := range map[string]func(*transport.Client, *transport.Stream){
 		"ended": func(_ *transport.Client, stream *transport.Stream) { stream.Close() },
 		"lost":  func(client *transport.Client, _ *transport.Stream) { client.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			dispatcher := &fakeDispatcher{wait: time.Minute, ended: make(chan error, 1)}
+			dispatcher := &fakeDispatcher{delay: time.Minute, ended: make(chan error, 1)}
 			node, _ := newHome(t, dispatcher)
 			client := newClient(t)
 			stream := open(t, client, node, true)
@@ -207,30 +211,31 @@
 			select {
 			case <-dispatcher.ended:
 			case <-time.After(500 * time.Millisecond):
-				t.Error("the request goes on")
+				t.Error("the request was not canceled within 500 ms")
 			}
 		})
 	}
 }
 
-// A home says that it is alive while a request waits, so that its sender does not give it
-// up.
+// The home node sends keepalives while a request waits, so that the sending node does not
+// abandon it.
 func TestWaitingRequestsHearFromTheirHome(t *testing.T) {
-	node, _ := newHome(t, &fakeDispatcher{wait: silentAfter + 2*aliveEvery})
-	if answer, err := handOverTo(t, newSender(t), node); err != nil || string(answer.Body) != "done" {
-		t.Errorf("answer %v, error %v", answer, err)
+	node, _ := newHome(t, &fakeDispatcher{delay: keepaliveTimeout + 2*keepaliveInterval})
+	if response, err := handOffTo(t, newSender(t), node); err != nil || string(response.Body) != "done" {
+		t.Errorf("response %v, error %v", response, err)
 	}
 }
 
-func handOverTo(t testing.TB, sender *Sender, node homes.Node) (*upstream.Answer, error) {
+func handOffTo(t testing.TB, sender *Sender, node homes.Node) (*upstream.Answer, error) {
 	t.Helper()
 	request := newRequest(false)
 	to := dispatch.Destination{Homes: []homes.Node{node}, TableVersion: tableVersion}
-	answer, _, err := sender.Do(t.Context(), request, request.Deadline, to)
-	return answer, err
+	response, _, err := sender.Do(t.Context(), request, request.Deadline, to)
+	return response, err
 }
 
-// A stopping home gives back what waits, takes nothing more, and ends what servers have.
+// A stopping home node returns queued requests, accepts no new ones, and completes those
+// that servers are processing.
 func TestStoppingHome(t *testing.T) {
 	atServer, finish := make(chan struct{}), make(chan struct{})
 	dispatcher := &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Answer, error) {
@@ -238,8 +243,8 @@
 		<-finish
 		return &upstream.Answer{Status: 200, Body: []byte("ended")}, nil
 	}}
-	waiting := &fakeDispatcher{wait: time.Minute, ended: make(chan error, 1)}
-	both := &firstThen{first: dispatcher, then: waiting}
+	waiting := &fakeDispatcher{delay: time.Minute, ended: make(chan error, 1)}
+	both := &splitDispatcher{first: dispatcher, then: waiting}
 	node, home := newHome(t, both)
 	client := newClient(t)
 	begun := open(t, client, node, true)
@@ -250,7 +255,7 @@
 	awaitStep(t, queued, wire.HandoffStep_STEP_LEAVING)
 	awaitStep(t, open(t, client, node, false), wire.HandoffStep_STEP_LEAVING)
 	if sent := waiting.sent.Load(); sent != 0 {
-		t.Errorf("a request that was given back was sent")
+		t.Errorf("a returned request was sent")
 	}
 	close(finish)
 	awaitStep(t, begun, wire.HandoffStep_STEP_READY)
@@ -259,49 +264,49 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answer := envelope.GetHandoffAnswer(); answer != nil {
-			if string(answer.GetBody()) != "ended" {
-				t.Errorf("answer %q", answer.GetBody())
+		if response := envelope.GetHandoffAnswer(); response != nil {
+			if string(response.GetBody()) != "ended" {
+				t.Errorf("response %q", response.GetBody())
 			}
 			return
 		}
 	}
 }
 
-// firstThen gives the first request to one dispatcher and the others to another.
-type firstThen struct {
+// splitDispatcher passes the first request to one dispatcher and all others to another.
+type splitDispatcher struct {
 	first, then Dispatcher
 	count       atomic.Int32
 }
 
-func (f *firstThen) Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error) {
+func (f *splitDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error) {
 	if f.count.Add(1) == 1 {
 		return f.first.Do(ctx, request)
 	}
 	return f.then.Do(ctx, request)
 }
 
-func (*firstThen) Takes(*dispatch.Request, dispatch.Destination) bool { return true }
+func (*splitDispatcher) Takes(*dispatch.Request, dispatch.Destination) bool { return true }
 
-func (*firstThen) TakeHome(discovery.ServerID) {}
+func (*splitDispatcher) TakeHome(discovery.ServerID) {}
 
-// A home with another configuration than the sender's takes nothing: what holds for the
-// request might differ.
+// A home node with another configuration version than the sending node rejects the request,
+// because the route might have other settings there.
 func TestOtherConfigurationIsNotTaken(t *testing.T) {
 	dispatcher := &fakeDispatcher{}
 	node, _ := newHome(t, dispatcher)
 	request := newRequest(true)
 	to := dispatch.Destination{Homes: []homes.Node{node}, TableVersion: tableVersion + 1}
 	if _, _, err := newSender(t).Do(t.Context(), request, request.Deadline, to); !errors.Is(err, dispatch.ErrNoHome) {
-		t.Errorf("error %v, wanted that no home takes it", err)
+		t.Errorf("error %v, want ErrNoHome", err)
 	}
 	if dispatcher.sent.Load() != 0 {
 		t.Error("the request was sent")
 	}
 }
 
-// Bytes of a caller or server that are no text pass as they are, and do not end the
-// connection that other requests share.
+// Bytes from a caller or server that are not valid UTF-8 are forwarded unchanged and do not
+// break the connection that other requests share.
 func TestBytesThatAreNoTextPass(t *testing.T) {
 	const odd = "caf\xe9"
 	passed := make(chan *dispatch.Request, 1)
@@ -312,28 +317,28 @@
 	request := newRequest(false)
 	request.ID, request.Caller, request.URI = odd, odd, "/"+odd
 	request.Fields = []upstream.Field{{Name: "A", Value: odd}}
-	answer, err := handOver(t.Context(), newSender(t), request, node)
-	if err != nil || answer.Header.Get("A") != odd {
-		t.Fatalf("answer %v, error %v", answer, err)
+	response, err := handOff(t.Context(), newSender(t), request, node)
+	if err != nil || response.Header.Get("A") != odd {
+		t.Fatalf("response %v, error %v", response, err)
 	}
 	got := <-passed
 	if got.ID != odd || got.Caller != odd || got.URI != "/"+odd || got.Fields[0].Value != odd {
-		t.Errorf("passed on as %q", []string{got.ID, got.Caller, got.URI, got.Fields[0].Value})
+		t.Errorf("forwarded as %q", []string{got.ID, got.Caller, got.URI, got.Fields[0].Value})
 	}
 }
 
-func waitUntil(t *testing.T, holds func() bool) {
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(2 * time.Second); !holds(); {
+	for deadline := time.Now().Add(2 * time.Second); !condition(); {
 		if time.Now().After(deadline) {
-			t.Fatal("did not come true")
+			t.Fatal("condition did not hold within 2 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// BenchmarkHop measures what a handover with the go adds to a request, with an answer of
-// 8 KB.
+// BenchmarkHop measures the latency that a handoff with go-ahead adds to a request, with a
+// response of 8 KB.
 func BenchmarkHop(b *testing.B) {
 	body := make([]byte, 8<<10)
 	node, _ := newHome(b, &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Answer, error) {
@@ -343,7 +348,7 @@
 	took := make([]time.Duration, 0, b.N)
 	for b.Loop() {
 		startedAt := time.Now()
-		if _, err := handOverTo(b, sender, node); err != nil {
+		if _, err := handOffTo(b, sender, node); err != nil {
 			b.Fatal(err)
 		}
 		took = append(took, time.Since(startedAt))
--- a/internal/handoff/reachable.go
+++ b/internal/handoff/reachable.go
@@ -7,75 +7,78 @@
 )
 
 const (
-	// firstPause is for how long a home that did not answer is passed over at first, and
-	// mostPause bounds that; each time it fails again the pause is doubled.
-	firstPause = 300 * time.Millisecond
-	mostPause  = 5 * time.Second
-	// leavingPause is for how long one that said that it stops is passed over; its
+	// initialBackoff is how long a home node is skipped after its first failure, and
+	// maxBackoff is the upper bound; each further failure doubles the backoff.
+	initialBackoff = 300 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// stoppingBackoff is how long a home node that announced its shutdown is skipped; its
 	// registration is gone by then.
-	leavingPause = 10 * time.Second
+	stoppingBackoff = 10 * time.Second
 )
 
-// absence is that of a home that did not answer.
-type absence struct {
+// backoff is the backoff state of a home node that failed to answer.
+type backoff struct {
 	until time.Time
-	pause time.Duration
+	delay time.Duration
 }
 
-// reachability knows which homes did not answer lately. The caller guards it.
+// reachability tracks which home nodes recently failed to answer. The caller must
+// synchronize access.
 type reachability struct {
-	absent map[string]*absence
-	logger *zap.Logger
+	backoffs map[string]*backoff
+	logger   *zap.Logger
 }
 
-// passedOver reports whether a home is to be passed over.
-func (r *reachability) passedOver(now time.Time, home string) bool {
-	known := r.absent[home]
-	return known != nil && now.Before(known.until)
+// inBackoff reports whether a home node is to be skipped.
+func (r *reachability) inBackoff(now time.Time, home string) bool {
+	entry := r.backoffs[home]
+	return entry != nil && now.Before(entry.until)
 }
 
-// missed notes that a home did not answer.
-func (r *reachability) missed(now time.Time, home, cause string) {
-	known := r.absent[home]
-	if known != nil && now.Before(known.until) {
-		// Others that were handed to it before are lost with it; it is one absence.
+// markFailed records that a home node did not answer.
+func (r *reachability) markFailed(now time.Time, home, cause string) {
+	entry := r.backoffs[home]
+	if entry != nil && now.Before(entry.until) {
+		// Requests handed off to it before the failure are lost with it; together they count
+		// as one failure.
 		return
 	}
-	if known == nil {
-		known = &absence{pause: firstPause / 2}
-		r.absent[home] = known
+	if entry == nil {
+		entry = &backoff{delay: initialBackoff / 2}
+		r.backoffs[home] = entry
 	}
-	known.pause = min(2*known.pause, mostPause)
-	known.until = now.Add(known.pause)
+	entry.delay = min(2*entry.delay, maxBackoff)
+	entry.until = now.Add(entry.delay)
 	unreachableTotal.WithLabelValues(cause).Inc()
-	r.logger.Warn("home passed over", zap.String("home", home), zap.String("cause", cause), zap.Duration("for", known.pause))
+	r.logger.Warn("home node failed, skipping it temporarily", zap.String("home", home), zap.String("cause", cause), zap.Duration("for", entry.delay))
 }
 
-// leaves notes that a home stops.
-func (r *reachability) leaves(now time.Time, home string) {
-	if r.passedOver(now, home) {
+// markStopping records that a home node is shutting down.
+func (r *reachability) markStopping(now time.Time, home string) {
+	if r.inBackoff(now, home) {
 		return
 	}
-	r.absent[home] = &absence{until: now.Add(leavingPause), pause: leavingPause}
+	r.backoffs[home] = &backoff{until: now.Add(stoppingBackoff), delay: stoppingBackoff}
 	unreachableTotal.WithLabelValues("leaving").Inc()
-	r.logger.Info("home passed over", zap.String("home", home), zap.String("cause", "leaving"), zap.Duration("for", leavingPause))
+	r.logger.Info("home node is stopping, skipping it temporarily", zap.String("home", home), zap.String("cause", "leaving"), zap.Duration("for", stoppingBackoff))
 }
 
-// heard notes that a home answers.
-func (r *reachability) heard(now time.Time, home string) {
-	known := r.absent[home]
-	if known == nil || now.Before(known.until) {
+// markReachable records that a home node answers.
+func (r *reachability) markReachable(now time.Time, home string) {
+	entry := r.backoffs[home]
+	if entry == nil || now.Before(entry.until) {
 		return
 	}
-	delete(r.absent, home)
-	r.logger.Info("home answers again", zap.String("home", home))
+	delete(r.backoffs, home)
+	r.logger.Info("home node is reachable again", zap.String("home", home))
 }
 
-// keep forgets homes that are not registered any more, so that a restarted one is asked.
-func (r *reachability) keep(processes map[string]string, changed func(home string) bool) {
-	for home := range r.absent {
-		if _, registered := processes[home]; !registered || changed(home) {
-			delete(r.absent, home)
+// prune forgets home nodes that are no longer registered or were restarted, so that a
+// restarted one is tried at once.
+func (r *reachability) prune(processes map[string]string, restarted func(home string) bool) {
+	for home := range r.backoffs {
+		if _, registered := processes[home]; !registered || restarted(home) {
+			delete(r.backoffs, home)
 		}
 	}
 }
--- a/internal/handoff/sender.go
+++ b/internal/handoff/sender.go
@@ -17,7 +17,7 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// Sender hands requests over to the homes of their servers. It implements
+// Sender hands requests off to the home nodes of their servers. It implements
 // dispatch.HandoffSender and is safe for concurrent use.
 type Sender struct {
 	self   string
@@ -29,15 +29,15 @@
 	reachable reachability
 }
 
-// NewSender returns a sender of a node.
+// NewSender returns the sender of the node named self.
 func NewSender(self string, client *transport.Client, logger *zap.Logger) *Sender {
 	return &Sender{
 		self: self, client: client, ranks: homes.NewRanks(nil),
-		reachable: reachability{absent: make(map[string]*absence), logger: logger},
+		reachable: reachability{backoffs: make(map[string]*backoff), logger: logger},
 	}
 }
 
-// Follow takes in the nodes of a new view.
+// Follow updates the set of nodes from a new view.
 func (s *Sender) Follow(current *view.View) {
 	if current.Unchanged.Nodes {
 		return
@@ -52,11 +52,12 @@
 	defer s.mutex.Unlock()
 	before := s.processes
 	s.ranks, s.processes = homes.NewRanks(nodes), processes
-	s.reachable.keep(processes, func(home string) bool { return before[home] != processes[home] })
+	s.reachable.prune(processes, func(home string) bool { return before[home] != processes[home] })
 }
 
-// homesOf returns the nodes that may be home to a server now, the best first.
-func (s *Sender) homesOf(to dispatch.Destination) []homes.Node {
+// candidates returns the nodes that can currently act as home for a destination, in order of
+// preference.
+func (s *Sender) candidates(to dispatch.Destination) []homes.Node {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
@@ -64,116 +65,117 @@
 	if to.Server != "" {
 		ranked = s.ranks.Of(homes.Server{ID: to.Server, Zone: to.Zone})
 	}
-	present := make([]homes.Node, 0, len(ranked))
+	available := make([]homes.Node, 0, len(ranked))
 	for _, home := range ranked {
-		if home.Name == s.self || !s.reachable.passedOver(now, home.Name) {
-			present = append(present, home)
+		if home.Name == s.self || !s.reachable.inBackoff(now, home.Name) {
+			available = append(available, home)
 		}
 	}
-	return present
+	return available
 }
 
-// Do implements dispatch.HandoffSender.
-func (s *Sender) Do(ctx context.Context, request *dispatch.Request, limit time.Time, to dispatch.Destination) (*upstream.Answer, dispatch.Trace, error) {
-	var full *dispatch.Refusal
+// Do implements dispatch.HandoffSender. It tries the candidates in order until one takes the
+// request. If a home node of an unsharded service has no free server, one more is tried.
+func (s *Sender) Do(ctx context.Context, request *dispatch.Request, respondBy time.Time, to dispatch.Destination) (*upstream.Answer, dispatch.Trace, error) {
+	var noServer *dispatch.Refusal
 	notTaken := dispatch.ErrNoHome
-	for _, home := range s.homesOf(to) {
+	for _, home := range s.candidates(to) {
 		if home.Name == s.self {
 			return nil, dispatch.Trace{}, dispatch.ErrAtHome
 		}
-		answer, trace, err := s.handTo(ctx, home, request, encodeRequest(request, limit, to))
-		handedOverTotal.WithLabelValues(request.Service, resultOf(err)).Inc()
-		if full == nil && to.Server == "" && errors.As(err, &full) && full.Reason == dispatch.ReasonNoServer && ctx.Err() == nil {
-			// Another home may have a free server.
+		response, trace, err := s.handOffTo(ctx, home, request, encodeRequest(request, respondBy, to))
+		handedOverTotal.WithLabelValues(request.Service, resultLabel(err)).Inc()
+		if noServer == nil && to.Server == "" && errors.As(err, &noServer) && noServer.Reason == dispatch.ReasonNoServer && ctx.Err() == nil {
+			// Another home node may have a free server.
 			continue
 		}
 		if !errors.Is(err, dispatch.ErrNoHome) || ctx.Err() != nil {
-			return answer, trace, err
+			return response, trace, err
 		}
 		notTaken = err
 	}
-	if full != nil {
-		return nil, dispatch.Trace{}, full
+	if noServer != nil {
+		return nil, dispatch.Trace{}, noServer
 	}
 	return nil, dispatch.Trace{}, notTaken
 }
 
-// handTo hands a request to one home. The error matches dispatch.ErrNoHome if that home
-// has certainly not sent it and never will.
-func (s *Sender) handTo(ctx context.Context, home homes.Node, request *dispatch.Request, first *wire.Envelope) (*upstream.Answer, dispatch.Trace, error) {
-	bounded, cancel := context.WithTimeout(ctx, ackWithin)
+// handOffTo hands a request off to one home node. The error matches dispatch.ErrNoHome if
+// that node has certainly not sent the request and never will.
+func (s *Sender) handOffTo(ctx context.Context, home homes.Node, request *dispatch.Request, first *wire.Envelope) (*upstream.Answer, dispatch.Trace, error) {
+	bounded, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
 	stream, err := s.client.Open(bounded, home.Address, first)
 	if err != nil {
 		if ctx.Err() == nil {
-			s.missed(home.Name, "not reached")
+			s.markFailed(home.Name, "not reached")
 		}
 		return nil, dispatch.Trace{}, errors.Wrapf(dispatch.ErrNoHome, "home %s not reached: %v", home.Name, err)
 	}
-	h := &handing{sender: s, home: home.Name, stream: stream, needsGo: !request.Route.Repeatable}
-	answer, trace, err := h.follow(ctx)
-	if answer == nil || answer.Rest == nil {
+	h := &attempt{sender: s, home: home.Name, stream: stream, needsGo: !request.Route.Repeatable}
+	response, trace, err := h.awaitOutcome(ctx)
+	if response == nil || response.Rest == nil {
 		stream.Close()
 	}
-	return answer, trace, err
+	return response, trace, err
 }
 
-func (s *Sender) missed(home, cause string) {
+func (s *Sender) markFailed(home, cause string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.reachable.missed(time.Now(), home, cause)
+	s.reachable.markFailed(time.Now(), home, cause)
 }
 
-func (s *Sender) leaves(home string) {
+func (s *Sender) markStopping(home string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.reachable.leaves(time.Now(), home)
+	s.reachable.markStopping(time.Now(), home)
 }
 
-func (s *Sender) heard(home string) {
+func (s *Sender) markReachable(home string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.reachable.heard(time.Now(), home)
+	s.reachable.markReachable(time.Now(), home)
 }
 
-// handing is one request at one home.
-type handing struct {
+// attempt is the handoff of one request to one home node.
+type attempt struct {
 	sender  *Sender
 	home    string
 	stream  *transport.Stream
 	needsGo bool
-	// gone is true once the home was given the go.
-	gone bool
-	// acknowledged is true once the home said anything.
+	// goAheadSent is true once the go-ahead was sent to the home node.
+	goAheadSent bool
+	// acknowledged is true once the home node has sent any message.
 	acknowledged bool
 }
 
-// mayRun reports whether the home may have sent the request.
-func (h *handing) mayRun() bool { return !h.needsGo || h.gone }
+// mayHaveRun reports whether the home node may have sent the request to a server.
+func (h *attempt) mayHaveRun() bool { return !h.needsGo || h.goAheadSent }
 
-// follow takes the home's steps until the request has ended.
-func (h *handing) follow(ctx context.Context) (*upstream.Answer, dispatch.Trace, error) {
+// awaitOutcome processes the messages of the home node until the request has ended.
+func (h *attempt) awaitOutcome(ctx context.Context) (*upstream.Answer, dispatch.Trace, error) {
 	trace := dispatch.Trace{Home: h.home}
 	for {
 		envelope, err := h.receive(ctx)
 		if err != nil {
-			return nil, trace, h.lost(ctx, err)
+			return nil, trace, h.lostError(ctx, err)
 		}
 		if !h.acknowledged {
 			h.acknowledged = true
-			h.sender.heard(h.home)
+			h.sender.markReachable(h.home)
 		}
 		switch body := envelope.GetBody().(type) {
 		case *wire.Envelope_HandoffStep:
 			if body.HandoffStep.GetStep() == wire.HandoffStep_STEP_READY {
-				// The home says so before each server to which it sends the request.
+				// The home node announces each server attempt before it sends the request.
 				trace.Attempts++
 			}
-			if err := h.take(ctx, body.HandoffStep); err != nil {
+			if err := h.handleStep(ctx, body.HandoffStep); err != nil {
 				return nil, trace, err
 			}
 		case *wire.Envelope_HandoffAnswer:
-			return h.answer(ctx, body.HandoffAnswer)
+			return h.response(ctx, body.HandoffAnswer)
 		case *wire.Envelope_HandoffRefusal:
 			refusal := decodeRefusal(body.HandoffRefusal)
 			refusedTotal.WithLabelValues(refusal.Reason.String()).Inc()
@@ -181,64 +183,69 @@
 		case *wire.Envelope_HandoffFailure:
 			return nil, decodeTrace(h.home, body.HandoffFailure.GetTrace()), decodeFailure(body.HandoffFailure)
 		case *wire.Envelope_Failure:
-			// A node that does not know handed-over requests says so and does nothing.
-			h.sender.missed(h.home, "not understood")
+			// A node that does not support handoff replies with a failure and has not sent
+			// the request.
+			h.sender.markFailed(h.home, "not understood")
 			return nil, trace, errors.Wrap(dispatch.ErrNoHome, "home takes no requests")
 		default:
-			// A part of an answer whose head was lost, or a word that this node does not know.
-			return nil, trace, h.lost(ctx, errors.New("home's word does not belong here"))
+			// A chunk of a response whose head was lost, or a message type unknown to this
+			// node.
+			return nil, trace, h.lostError(ctx, errors.New("home's word does not belong here"))
 		}
 	}
 }
 
-// receive waits for the home's next word for as long as it may be silent. A home that has
-// the go is waited for until the request's end: it may come back, and its answer counts.
-func (h *handing) receive(ctx context.Context) (*wire.Envelope, error) {
-	if h.gone {
+// receive waits for the next message of the home node, for at most the permitted silence.
+// After the go-ahead it waits until the request's deadline: the home node may recover, and
+// its response still counts.
+func (h *attempt) receive(ctx context.Context) (*wire.Envelope, error) {
+	if h.goAheadSent {
 		return h.stream.Receive(ctx)
 	}
-	silence := silentAfter
+	timeout := keepaliveTimeout
 	if !h.acknowledged {
-		silence = ackWithin
+		timeout = ackTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, silence)
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return h.stream.Receive(bounded)
 }
 
-// take takes a step of the home; an error ends the handover.
-func (h *handing) take(ctx context.Context, taken *wire.HandoffStep) error {
-	switch taken.GetStep() {
+// handleStep processes a step of the home node; an error ends the handoff.
+func (h *attempt) handleStep(ctx context.Context, update *wire.HandoffStep) error {
+	switch update.GetStep() {
 	case wire.HandoffStep_STEP_READY:
-		if !h.needsGo || h.gone {
+		if !h.needsGo || h.goAheadSent {
 			return nil
 		}
-		if ctx.Err() != nil || !h.stream.Send(step(wire.HandoffStep_STEP_GO, "")) {
+		if ctx.Err() != nil || !h.stream.Send(stepEnvelope(wire.HandoffStep_STEP_GO, "")) {
 			return errors.Wrap(dispatch.ErrNoHome, "no go was sent")
 		}
-		h.gone = true
+		h.goAheadSent = true
 	case wire.HandoffStep_STEP_NOT_TAKEN:
-		return errors.Wrap(dispatch.ErrNoHome, string(taken.GetDetail()))
+		return errors.Wrap(dispatch.ErrNoHome, string(update.GetDetail()))
 	case wire.HandoffStep_STEP_LEAVING:
-		h.sender.leaves(h.home)
+		h.sender.markStopping(h.home)
 		return errors.Wrap(dispatch.ErrNoHome, "home stops")
 	}
 	return nil
 }
 
-// lost says what is known of a request whose home does not say more.
-func (h *handing) lost(ctx context.Context, cause error) error {
+// lostError returns the error for a request whose home node stopped answering; it tells
+// whether the request may have run.
+func (h *attempt) lostError(ctx context.Context, cause error) error {
 	if ctx.Err() == nil {
-		h.sender.missed(h.home, causeOf(cause))
+		h.sender.markFailed(h.home, failureCause(cause))
 	}
-	lost := dispatch.ErrNoHome
-	if h.mayRun() {
-		lost = dispatch.ErrHomeLost
+	lostError := dispatch.ErrNoHome
+	if h.mayHaveRun() {
+		lostError = dispatch.ErrHomeLost
 	}
-	return errors.Wrapf(lost, "home %s (acknowledged %v): %v", h.home, h.acknowledged, cause)
+	return errors.Wrapf(lostError, "home %s (acknowledged %v): %v", h.home, h.acknowledged, cause)
 }
 
-func causeOf(err error) string {
+// failureCause returns the metric label for the reason why a home node counts as lost.
+func failureCause(err error) string {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		return "silent"
@@ -249,26 +256,26 @@
 	}
 }
 
-// answer reads an answer, to its end if it is short.
-func (h *handing) answer(ctx context.Context, begun *wire.HandoffAnswer) (*upstream.Answer, dispatch.Trace, error) {
-	trace := decodeTrace(h.home, begun.GetTrace())
-	answer := &upstream.Answer{Status: int(begun.GetStatus()), Header: decodeHeader(begun.GetFields()), Body: begun.GetBody()}
-	if begun.GetWhole() {
-		return answer, trace, nil
+// response reads a response, to its end if it is short.
+func (h *attempt) response(ctx context.Context, head *wire.HandoffAnswer) (*upstream.Answer, dispatch.Trace, error) {
+	trace := decodeTrace(h.home, head.GetTrace())
+	response := &upstream.Answer{Status: int(head.GetStatus()), Header: decodeHeader(head.GetFields()), Body: head.GetBody()}
+	if head.GetWhole() {
+		return response, trace, nil
 	}
-	rest := &chunkReader{ctx: ctx, stream: h.stream, pending: begun.GetBody()}
-	body, err := io.ReadAll(io.LimitReader(rest, maxCollected))
+	rest := &chunkReader{ctx: ctx, stream: h.stream, pending: head.GetBody()}
+	body, err := io.ReadAll(io.LimitReader(rest, maxBufferedBody))
 	if err != nil {
 		return nil, trace, errors.Wrapf(dispatch.ErrHomeLost, "home %s: %v", h.home, err)
 	}
-	answer.Body = body
+	response.Body = body
 	if !rest.ended() {
-		answer.Rest = rest
+		response.Rest = rest
 	}
-	return answer, trace, nil
+	return response, trace, nil
 }
 
-// chunkReader reads a long answer from its home.
+// chunkReader reads the body of a long response from the home node.
 type chunkReader struct {
 	ctx     context.Context
 	stream  *transport.Stream
@@ -290,15 +297,16 @@
 		}
 		chunk := envelope.GetHandoffChunk()
 		if chunk == nil {
-			// The home's word that it is alive.
+			// A keepalive of the home node.
 			continue
 		}
 		if chunk.GetBroken() {
 			return 0, errors.Wrap(io.ErrUnexpectedEOF, "rest of an answer")
 		}
 		r.pending, r.last = chunk.GetBody(), chunk.GetLast()
-		// A home that does not get it stops to send, which the reader sees.
-		r.stream.SendWhole(r.ctx, step(wire.HandoffStep_STEP_MORE, ""))
+		// If this does not reach the home node, the home node stops sending, and the next
+		// read fails.
+		r.stream.SendWhole(r.ctx, stepEnvelope(wire.HandoffStep_STEP_MORE, ""))
 	}
 	count := copy(into, r.pending)
 	r.pending = r.pending[count:]
@@ -311,8 +319,8 @@
 	return nil
 }
 
-// resultOf names how a handover ended, for the metrics.
-func resultOf(err error) string {
+// resultLabel returns the metric label for the result of a handoff.
+func resultLabel(err error) string {
 	switch {
 	case err == nil:
 		return "answered"
--- a/internal/handoff/sender_test.go
+++ b/internal/handoff/sender_test.go
@@ -21,22 +21,24 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// script is a node that does with a handed-over request what a test says.
-type script struct {
+// scriptedHandler is a node that handles handed-off requests with a function of the test.
+type scriptedHandler struct {
 	server *transport.Server
-	play   func(server *transport.Server, stream *transport.Stream)
+	handle func(server *transport.Server, stream *transport.Stream)
 }
 
-func (*script) HandleMessage(*wire.Hello, *wire.Envelope) {}
+func (*scriptedHandler) HandleMessage(*wire.Hello, *wire.Envelope) {}
 
-// HandleCall answers like a node that does not know of handovers.
-func (*script) HandleCall(_ *wire.Hello, _ *wire.Envelope, reply func(*wire.Envelope)) {
+// HandleCall replies like a node that does not support handoff.
+func (*scriptedHandler) HandleCall(_ *wire.Hello, _ *wire.Envelope, reply func(*wire.Envelope)) {
 	reply(&wire.Envelope{Body: &wire.Envelope_Failure{Failure: &wire.Failure{Message: "unknown call"}}})
 }
 
-func (s *script) HandleStream(_ *wire.Hello, stream *transport.Stream) { s.play(s.server, stream) }
+func (s *scriptedHandler) HandleStream(_ *wire.Hello, stream *transport.Stream) {
+	s.handle(s.server, stream)
+}
 
-// serve makes a node with a handler.
+// serve starts a node with the given handler.
 func serve(t testing.TB, name string, handler transport.Handler) (homes.Node, *transport.Server) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,9 +51,9 @@
 	return homes.Node{Name: name, Address: listener.Addr().String(), Share: 1}, server
 }
 
-// scripted makes a home that plays a script.
-func scripted(t testing.TB, name string, play func(server *transport.Server, stream *transport.Stream)) homes.Node {
-	handler := &script{play: play}
+// newScriptedHome starts a home node that calls handle for each handed-off request.
+func newScriptedHome(t testing.TB, name string, handle func(server *transport.Server, stream *transport.Stream)) homes.Node {
+	handler := &scriptedHandler{handle: handle}
 	node, server := serve(t, name, handler)
 	handler.server = server
 	return node
@@ -74,171 +76,175 @@
 	}
 }
 
-// handOver hands a request to homes in their order.
-func handOver(ctx context.Context, sender *Sender, request *dispatch.Request, asked ...homes.Node) (*upstream.Answer, error) {
-	answer, _, err := sender.Do(ctx, request, request.Deadline, dispatch.Destination{Homes: asked, TableVersion: tableVersion})
-	return answer, err
+// handOff hands a request off to the given home nodes, in this order of preference.
+func handOff(ctx context.Context, sender *Sender, request *dispatch.Request, candidates ...homes.Node) (*upstream.Answer, error) {
+	response, _, err := sender.Do(ctx, request, request.Deadline, dispatch.Destination{Homes: candidates, TableVersion: tableVersion})
+	return response, err
 }
 
-func answerOf(body string) *wire.Envelope {
+func responseEnvelope(body string) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_HandoffAnswer{HandoffAnswer: &wire.HandoffAnswer{Status: 200, Whole: true, Body: []byte(body)}}}
 }
 
-// goesOn waits for the sender's go.
-func goesOn(stream *transport.Stream) bool {
+// receivesGoAhead receives the next message and reports whether it is the go-ahead.
+func receivesGoAhead(stream *transport.Stream) bool {
 	envelope, err := stream.Receive(context.Background())
 	return err == nil && envelope.GetHandoffStep().GetStep() == wire.HandoffStep_STEP_GO
 }
 
-// serving is a home that answers each request, after the go if it needs one.
-func serving(_ *transport.Server, stream *transport.Stream) {
+// respondAfterGoAhead responds to a request as a healthy home node does, after the go-ahead
+// if the request needs one.
+func respondAfterGoAhead(_ *transport.Server, stream *transport.Stream) {
 	defer stream.Close()
 	first, err := stream.Receive(context.Background())
 	if err != nil {
 		return
 	}
-	stream.Send(step(wire.HandoffStep_STEP_READY, ""))
-	if first.GetHandoff().GetNeedsGo() && !goesOn(stream) {
+	stream.Send(stepEnvelope(wire.HandoffStep_STEP_READY, ""))
+	if first.GetHandoff().GetNeedsGo() && !receivesGoAhead(stream) {
 		return
 	}
-	stream.Send(answerOf(string(first.GetHandoff().GetRequestId())))
+	stream.Send(responseEnvelope(string(first.GetHandoff().GetRequestId())))
 }
 
-// Until the go a home has certainly not sent the request: it goes to the next one.
+// Before the go-ahead a home node has certainly not sent the request, so the next home node
+// is tried.
 func TestBeforeTheGoTheNextHomeIsAsked(t *testing.T) {
 	cases := map[string]func(*transport.Server, *transport.Stream){
 		"dies at once": func(server *transport.Server, _ *transport.Stream) { server.Close() },
 		"dies while it waits": func(server *transport.Server, stream *transport.Stream) {
-			stream.Send(step(wire.HandoffStep_STEP_QUEUED, ""))
+			stream.Send(stepEnvelope(wire.HandoffStep_STEP_QUEUED, ""))
 			time.Sleep(20 * time.Millisecond)
 			server.Close()
 		},
 		"says nothing": func(*transport.Server, *transport.Stream) { time.Sleep(time.Second) },
 		"falls silent": func(_ *transport.Server, stream *transport.Stream) {
-			stream.Send(step(wire.HandoffStep_STEP_QUEUED, ""))
+			stream.Send(stepEnvelope(wire.HandoffStep_STEP_QUEUED, ""))
 		},
 		"ends the stream": func(_ *transport.Server, stream *transport.Stream) { stream.Close() },
 		"does not take it": func(_ *transport.Server, stream *transport.Stream) {
-			stream.Send(step(wire.HandoffStep_STEP_NOT_TAKEN, ""))
+			stream.Send(stepEnvelope(wire.HandoffStep_STEP_NOT_TAKEN, ""))
 		},
 		"stops": func(_ *transport.Server, stream *transport.Stream) {
-			stream.Send(step(wire.HandoffStep_STEP_LEAVING, ""))
+			stream.Send(stepEnvelope(wire.HandoffStep_STEP_LEAVING, ""))
 		},
 		"knows no handovers": func(_ *transport.Server, stream *transport.Stream) {
 			stream.Send(&wire.Envelope{Body: &wire.Envelope_Failure{Failure: &wire.Failure{}}})
 		},
 	}
-	for name, play := range cases {
+	for name, handle := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sender := newSender(t)
-			answer, err := handOver(t.Context(), sender, newRequest(false), scripted(t, "bad", play), scripted(t, "good", serving))
-			if err != nil || string(answer.Body) != "r" {
-				t.Fatalf("answer %v, error %v", answer, err)
+			response, err := handOff(t.Context(), sender, newRequest(false), newScriptedHome(t, "bad", handle), newScriptedHome(t, "good", respondAfterGoAhead))
+			if err != nil || string(response.Body) != "r" {
+				t.Fatalf("response %v, error %v", response, err)
 			}
 		})
 	}
 }
 
-// A home that cannot be reached has not sent the request.
+// A home node that cannot be reached has not sent the request.
 func TestNoHomeAnswers(t *testing.T) {
-	gone, server := serve(t, "gone", &script{})
+	gone, server := serve(t, "gone", &scriptedHandler{})
 	server.Close()
-	if _, err := handOver(t.Context(), newSender(t), newRequest(false), gone); !errors.Is(err, dispatch.ErrNoHome) {
-		t.Errorf("error %v, wanted that there is no home", err)
+	if _, err := handOff(t.Context(), newSender(t), newRequest(false), gone); !errors.Is(err, dispatch.ErrNoHome) {
+		t.Errorf("error %v, want ErrNoHome", err)
 	}
 }
 
-// After the go nobody but the home knows whether the request has run.
+// After the go-ahead only the home node knows whether the request has run.
 func TestAfterTheGoTheOutcomeIsUnknown(t *testing.T) {
-	dying := scripted(t, "dying", func(server *transport.Server, stream *transport.Stream) {
-		stream.Send(step(wire.HandoffStep_STEP_READY, ""))
-		if !goesOn(stream) {
-			// The request itself came first.
-			goesOn(stream)
+	dying := newScriptedHome(t, "dying", func(server *transport.Server, stream *transport.Stream) {
+		stream.Send(stepEnvelope(wire.HandoffStep_STEP_READY, ""))
+		if !receivesGoAhead(stream) {
+			// The first message was the request itself.
+			receivesGoAhead(stream)
 		}
 		server.Close()
 	})
-	other := scripted(t, "other", func(*transport.Server, *transport.Stream) { t.Error("the request went to another home") })
-	if _, err := handOver(t.Context(), newSender(t), newRequest(false), dying, other); !errors.Is(err, dispatch.ErrHomeLost) {
-		t.Errorf("error %v, wanted that the home was lost", err)
+	other := newScriptedHome(t, "other", func(*transport.Server, *transport.Stream) { t.Error("the request was sent to another home node") })
+	if _, err := handOff(t.Context(), newSender(t), newRequest(false), dying, other); !errors.Is(err, dispatch.ErrHomeLost) {
+		t.Errorf("error %v, want ErrHomeLost", err)
 	}
 }
 
-// The head of an answer may be lost where the home's queue of envelopes is full; what comes
-// after it does not say that the request has not run.
+// The head of a response may be dropped when the send queue of the home node is full. Chunks
+// that arrive without it must not be taken as proof that the request has not run.
 func TestAnswerWithoutItsHeadIsUnknown(t *testing.T) {
 	for name, repeatable := range map[string]bool{"unsafe": false, "safe": true} {
 		t.Run(name, func(t *testing.T) {
-			headless := scripted(t, "headless", func(_ *transport.Server, stream *transport.Stream) {
+			headless := newScriptedHome(t, "headless", func(_ *transport.Server, stream *transport.Stream) {
 				_, _ = stream.Receive(context.Background())
-				stream.Send(step(wire.HandoffStep_STEP_READY, ""))
+				stream.Send(stepEnvelope(wire.HandoffStep_STEP_READY, ""))
 				if !repeatable {
-					goesOn(stream)
+					receivesGoAhead(stream)
 				}
 				stream.Send(&wire.Envelope{Body: &wire.Envelope_HandoffChunk{HandoffChunk: &wire.HandoffChunk{Body: []byte("rest")}}})
 			})
-			other := scripted(t, "other", func(*transport.Server, *transport.Stream) { t.Error("the request went to another home") })
-			if _, err := handOver(t.Context(), newSender(t), newRequest(repeatable), headless, other); !errors.Is(err, dispatch.ErrHomeLost) {
-				t.Errorf("error %v, wanted that the home was lost", err)
+			other := newScriptedHome(t, "other", func(*transport.Server, *transport.Stream) { t.Error("the request was sent to another home node") })
+			if _, err := handOff(t.Context(), newSender(t), newRequest(repeatable), headless, other); !errors.Is(err, dispatch.ErrHomeLost) {
+				t.Errorf("error %v, want ErrHomeLost", err)
 			}
 		})
 	}
 }
 
-// A home that sends a safe request without a go may have sent it when it falls silent.
+// A home node sends a safe request without a go-ahead, so it may have sent the request
+// before it stopped responding.
 func TestSafeRequestAtASilentHomeMayHaveRun(t *testing.T) {
-	silent := scripted(t, "silent", func(*transport.Server, *transport.Stream) { time.Sleep(time.Second) })
-	if _, err := handOver(t.Context(), newSender(t), newRequest(true), silent); !errors.Is(err, dispatch.ErrHomeLost) {
-		t.Errorf("error %v, wanted that the home was lost", err)
+	silent := newScriptedHome(t, "silent", func(*transport.Server, *transport.Stream) { time.Sleep(time.Second) })
+	if _, err := handOff(t.Context(), newSender(t), newRequest(true), silent); !errors.Is(err, dispatch.ErrHomeLost) {
+		t.Errorf("error %v, want ErrHomeLost", err)
 	}
 }
 
-// What a home sent more than once before it was lost counts as often among the attempts.
+// Every server attempt that a home node announced before it was lost counts as an attempt.
 func TestAttemptsOfALostHomeCount(t *testing.T) {
-	dying := scripted(t, "dying", func(server *transport.Server, stream *transport.Stream) {
-		stream.Send(step(wire.HandoffStep_STEP_READY, ""))
-		stream.Send(step(wire.HandoffStep_STEP_READY, ""))
+	dying := newScriptedHome(t, "dying", func(server *transport.Server, stream *transport.Stream) {
+		stream.Send(stepEnvelope(wire.HandoffStep_STEP_READY, ""))
+		stream.Send(stepEnvelope(wire.HandoffStep_STEP_READY, ""))
 		time.Sleep(100 * time.Millisecond)
 		server.Close()
 	})
 	request := newRequest(true)
 	_, trace, err := newSender(t).Do(t.Context(), request, request.Deadline, dispatch.Destination{Homes: []homes.Node{dying}, TableVersion: tableVersion})
 	if !errors.Is(err, dispatch.ErrHomeLost) || trace.Attempts != 2 {
-		t.Errorf("error %v after %d attempts, wanted a lost home after two", err, trace.Attempts)
+		t.Errorf("error %v after %d attempts, want ErrHomeLost after two", err, trace.Attempts)
 	}
 }
 
-// A home that did not answer is not asked by the next request, and again later.
+// A home node that did not answer is skipped by the next requests and tried again after its
+// backoff.
 func TestSilentHomeIsPassedOverForAWhile(t *testing.T) {
-	asked := make(chan struct{}, 8)
-	silent := scripted(t, "silent", func(*transport.Server, *transport.Stream) { asked <- struct{}{} })
-	good := scripted(t, "good", serving)
+	tried := make(chan struct{}, 8)
+	silent := newScriptedHome(t, "silent", func(*transport.Server, *transport.Stream) { tried <- struct{}{} })
+	good := newScriptedHome(t, "good", respondAfterGoAhead)
 	sender := newSender(t)
 	for range 3 {
-		if _, err := handOver(t.Context(), sender, newRequest(false), silent, good); err != nil {
+		if _, err := handOff(t.Context(), sender, newRequest(false), silent, good); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(asked) != 1 {
-		t.Errorf("silent home asked %d times, wanted once", len(asked))
+	if len(tried) != 1 {
+		t.Errorf("unresponsive home node tried %d times, want once", len(tried))
 	}
-	time.Sleep(firstPause)
-	if _, err := handOver(t.Context(), sender, newRequest(false), silent, good); err != nil {
+	time.Sleep(initialBackoff)
+	if _, err := handOff(t.Context(), sender, newRequest(false), silent, good); err != nil {
 		t.Fatal(err)
 	}
-	if len(asked) != 2 {
-		t.Errorf("home asked %d times after its pause, wanted twice", len(asked))
+	if len(tried) != 2 {
+		t.Errorf("unresponsive home node tried %d times after its backoff, want twice", len(tried))
 	}
 }
 
-// A caller that leaves ends its request at the home within half a second.
+// If the caller disconnects, the home node learns of it within half a second.
 func TestCallersCloseReachesTheHome(t *testing.T) {
 	ended := make(chan error, 1)
 	working := make(chan struct{})
-	home := scripted(t, "home", func(_ *transport.Server, stream *transport.Stream) {
+	home := newScriptedHome(t, "home", func(_ *transport.Server, stream *transport.Stream) {
 		_, _ = stream.Receive(context.Background())
-		stream.Send(step(wire.HandoffStep_STEP_QUEUED, ""))
+		stream.Send(stepEnvelope(wire.HandoffStep_STEP_QUEUED, ""))
 		close(working)
 		_, err := stream.Receive(context.Background())
 		ended <- err
@@ -248,80 +254,80 @@
 		<-working
 		leave()
 	}()
-	_, err := handOver(ctx, newSender(t), newRequest(false), home)
+	_, err := handOff(ctx, newSender(t), newRequest(false), home)
 	if !errors.Is(err, dispatch.ErrNoHome) {
-		t.Errorf("error %v, wanted that it has not run", err)
+		t.Errorf("error %v, want ErrNoHome", err)
 	}
 	select {
 	case err := <-ended:
 		if !errors.Is(err, transport.ErrStreamEnded) {
-			t.Errorf("home sees %v, wanted the stream's end", err)
+			t.Errorf("home node received %v, want ErrStreamEnded", err)
 		}
 	case <-time.After(500 * time.Millisecond):
-		t.Error("home does not learn that the caller left")
+		t.Error("home node was not notified within 500 ms that the caller disconnected")
 	}
 }
 
-// What the home says of a refusal reaches the caller as it is.
+// A refusal by the home node reaches the caller unchanged.
 func TestRefusalIsPassedOn(t *testing.T) {
 	refusal := &dispatch.Refusal{Reason: dispatch.ReasonMoving, Detail: "key is moving", RetryAfter: 70 * time.Millisecond}
-	home := scripted(t, "home", func(_ *transport.Server, stream *transport.Stream) {
+	home := newScriptedHome(t, "home", func(_ *transport.Server, stream *transport.Stream) {
 		stream.Send(encodeRefusal(refusal, dispatch.Trace{}))
 	})
-	_, err := handOver(t.Context(), newSender(t), newRequest(false), home)
+	_, err := handOff(t.Context(), newSender(t), newRequest(false), home)
 	var passed *dispatch.Refusal
 	if !errors.As(err, &passed) || *passed != *refusal {
-		t.Errorf("error %v, wanted %v", err, refusal)
+		t.Errorf("error %v, want %v", err, refusal)
 	}
 }
 
-// What is known of a request that may have run is passed on as well.
+// The failure kind of a request that may have run reaches the caller as well.
 func TestFailuresArePassedOn(t *testing.T) {
 	for _, failure := range []error{dispatch.ErrUnknown, dispatch.ErrTimeout, dispatch.ErrNodeStopping} {
-		home := scripted(t, "home", func(_ *transport.Server, stream *transport.Stream) {
+		home := newScriptedHome(t, "home", func(_ *transport.Server, stream *transport.Stream) {
 			stream.Send(encodeFailure(errors.Wrap(failure, "cause"), dispatch.Trace{}))
 		})
-		if _, err := handOver(t.Context(), newSender(t), newRequest(true), home); !errors.Is(err, failure) {
-			t.Errorf("error %v, wanted %v", err, failure)
+		if _, err := handOff(t.Context(), newSender(t), newRequest(true), home); !errors.Is(err, failure) {
+			t.Errorf("error %v, want %v", err, failure)
 		}
 	}
 }
 
-// A long answer comes whole and in bounded frames; a caller that reads none of it holds up
-// no other request to the same home.
+// A long response arrives complete and in bounded frames. A caller that does not read it
+// must not delay other requests to the same home node.
 func TestSlowReaderHoldsUpNoOther(t *testing.T) {
-	body := bytes.Repeat([]byte("0123456789abcdef"), maxCollected)
+	body := bytes.Repeat([]byte("0123456789abcdef"), maxBufferedBody)
 	dispatcher := &fakeDispatcher{do: func(_ context.Context, request *dispatch.Request) (*upstream.Answer, error) {
 		if request.ID == "short" {
 			return &upstream.Answer{Status: 200, Body: []byte("short")}, nil
 		}
-		rest := io.NopCloser(bytes.NewReader(body[maxCollected:]))
-		return &upstream.Answer{Status: 200, Header: http.Header{"A": {"1", "2"}}, Body: body[:maxCollected], Rest: rest}, nil
+		rest := io.NopCloser(bytes.NewReader(body[maxBufferedBody:]))
+		return &upstream.Answer{Status: 200, Header: http.Header{"A": {"1", "2"}}, Body: body[:maxBufferedBody], Rest: rest}, nil
 	}}
 	node, _ := newHome(t, dispatcher)
 	sender := newSender(t)
-	long, err := handOver(t.Context(), sender, newRequest(true), node)
+	long, err := handOff(t.Context(), sender, newRequest(true), node)
 	if err != nil || long.Rest == nil || len(long.Header["A"]) != 2 {
-		t.Fatalf("answer %v, error %v", long, err)
+		t.Fatalf("response %v, error %v", long, err)
 	}
 	for range 50 {
 		request := newRequest(true)
 		request.ID = "short"
-		if answer, err := handOver(t.Context(), sender, request, node); err != nil || string(answer.Body) != "short" {
-			t.Fatalf("answer %v, error %v", answer, err)
+		if response, err := handOff(t.Context(), sender, request, node); err != nil || string(response.Body) != "short" {
+			t.Fatalf("response %v, error %v", response, err)
 		}
 	}
 	rest, err := io.ReadAll(long.Rest)
 	if err != nil || !bytes.Equal(append(long.Body, rest...), body) {
-		t.Errorf("got %d bytes, error %v, wanted %d", len(long.Body)+len(rest), err, len(body))
+		t.Errorf("got %d bytes, error %v, want %d", len(long.Body)+len(rest), err, len(body))
 	}
 }
 
-// Many long answers at a time fill the queue of the connection between two nodes, and each
-// still comes whole.
+// Many concurrent long responses fill the send queue of the connection between two nodes,
+// and each must still arrive complete.
 func TestManyLongAnswersComeWhole(t *testing.T) {
 	const many = 300
-	body := bytes.Repeat([]byte("0123456789abcdef"), maxCollected/16)
+	body := bytes.Repeat([]byte("0123456789abcdef"), maxBufferedBody/16)
 	together := make(chan struct{})
 	var waiting atomic.Int32
 	node, _ := newHome(t, &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Answer, error) {
@@ -337,9 +343,9 @@
 		go func() {
 			request := newRequest(false)
 			request.Deadline = time.Now().Add(20 * time.Second)
-			answer, err := handOver(t.Context(), sender, request, node)
-			if err == nil && len(answer.Body) != len(body) {
-				err = errors.Newf("%d bytes", len(answer.Body))
+			response, err := handOff(t.Context(), sender, request, node)
+			if err == nil && len(response.Body) != len(body) {
+				err = errors.Newf("response body has %d bytes", len(response.Body))
 			}
 			results <- err
 		}()
@@ -351,18 +357,18 @@
 	}
 }
 
-// One home of an undivided service may be full while another is not; two that are full
-// speak for all.
+// One home node of an unsharded service may have no free server while another has one, so a
+// second one is tried. After two refusals the request is refused.
 func TestTwoHomesAreAskedForAFreeServer(t *testing.T) {
 	full := func(_ *transport.Server, stream *transport.Stream) {
 		stream.Send(encodeRefusal(&dispatch.Refusal{Reason: dispatch.ReasonNoServer, Detail: "busy"}, dispatch.Trace{}))
 	}
-	one, two, good := scripted(t, "one", full), scripted(t, "two", full), scripted(t, "good", serving)
-	if answer, err := handOver(t.Context(), newSender(t), newRequest(false), one, good); err != nil || string(answer.Body) != "r" {
-		t.Errorf("answer %v, error %v", answer, err)
+	one, two, good := newScriptedHome(t, "one", full), newScriptedHome(t, "two", full), newScriptedHome(t, "good", respondAfterGoAhead)
+	if response, err := handOff(t.Context(), newSender(t), newRequest(false), one, good); err != nil || string(response.Body) != "r" {
+		t.Errorf("response %v, error %v", response, err)
 	}
 	var refusal *dispatch.Refusal
-	if _, err := handOver(t.Context(), newSender(t), newRequest(false), one, two, good); !errors.As(err, &refusal) {
-		t.Errorf("error %v, wanted a refusal", err)
+	if _, err := handOff(t.Context(), newSender(t), newRequest(false), one, two, good); !errors.As(err, &refusal) {
+		t.Errorf("error %v, want a refusal", err)
 	}
 }
--- a/internal/homes/homes.go
+++ b/internal/homes/homes.go
@@ -1,6 +1,7 @@
-// Package homes says which node is home to a server: the node that holds the queue, the
-// connections and what is known of that server for all nodes of its zone. Every node
-// finds the same home from the registered nodes, without a message. It is pure.
+// Package homes determines the home node of a server: the node that manages the request
+// queue, the connections and the load state of that server on behalf of all nodes in its
+// zone. Every node computes the same home from the registered nodes, without communication.
+// The package is pure: it has neither I/O nor a clock.
 package homes
 
 import (
@@ -12,10 +13,11 @@
 	"github.com/micahaven/micahaven/internal/rendezvous"
 )
 
-// Node is a node that may be home to servers.
+// Node is a node that may be the home of servers.
 type Node struct {
 	Name, Zone, Address string
-	// Share is its part of a processor, by which it gets servers.
+	// Share is the fraction of a CPU that the node has; it determines how many servers the
+	// node is home to.
 	Share float64
 }
 
@@ -25,21 +27,21 @@
 	Zone string
 }
 
-// Ranked returns the nodes of a server's zone, the home first and then those that take
-// its place in turn if it cannot be reached.
-type Ranked func(server Server, nodes []Node) []Node
+// RankFunc returns candidate nodes in a server's zone: first the home, then the nodes that
+// replace it, in order, if it cannot be reached.
+type RankFunc func(server Server, nodes []Node) []Node
 
-// MaxRanked is how many nodes are ranked for a server: with three that cannot be reached
-// the zone has other troubles, and nodes send to the server themselves.
+// MaxRanked is how many nodes are ranked for a server. If all three are unreachable, the
+// zone has a larger outage, and nodes send to the server directly.
 const MaxRanked = 3
 
-// Rank is a Ranked by weighted rendezvous hashing: each node is home to servers in
-// proportion to the square of its share, and one that comes or goes moves only those servers that it
-// gets or had.
+// Rank is a RankFunc based on weighted rendezvous hashing: each node is home to servers in
+// proportion to the square of its share, and a node that joins or leaves moves only the
+// servers that it gains or had.
 func Rank(server Server, nodes []Node) []Node { return highest(server, nodes, MaxRanked) }
 
-// highest returns the nodes of a server's zone with the greatest scores, the best first:
-// count of them, or all if there are fewer.
+// highest returns the count nodes of a server's zone with the highest scores, best first, or
+// all of them if there are fewer.
 func highest(server Server, nodes []Node, count int) []Node {
 	type scored struct {
 		node  Node
@@ -67,36 +69,38 @@
 	return ranked
 }
 
-// score is the weighted rendezvous score: weight / -ln(u), where u is a hash of the pair
-// between 0 and 1. The weight is the square of the share: each node serves as many callers
-// of its own whatever its share, so that small ones have even less left.
+// score is the weighted rendezvous score: weight / -ln(u), where u is a hash of the server
+// and node, uniform between 0 and 1. The weight is the square of the share: each node serves
+// the same number of its own callers whatever its share, so a small node has
+// disproportionately less capacity left for servers.
 func score(server Server, node Node) float64 {
 	const hashes = 1 << 53
 	u := (float64(rendezvous.Score(string(server.ID), node.Name)>>11) + 0.5) / hashes
 	return node.Share * node.Share / -math.Log(u)
 }
 
-// Ranks ranks the nodes of one view, each server once. It is not safe for concurrent use.
+// Ranks computes and caches the ranking of the nodes of one view for each server. It is not
+// safe for concurrent use.
 type Ranks struct {
 	byZone map[string][]Node
-	known  map[Server][]Node
+	cached map[Server][]Node
 }
 
-// NewRanks returns the ranks among some nodes.
+// NewRanks returns the rankings among the given nodes.
 func NewRanks(nodes []Node) *Ranks {
-	r := &Ranks{byZone: make(map[string][]Node), known: make(map[Server][]Node)}
+	r := &Ranks{byZone: make(map[string][]Node), cached: make(map[Server][]Node)}
 	for _, node := range nodes {
 		r.byZone[node.Zone] = append(r.byZone[node.Zone], node)
 	}
 	return r
 }
 
-// Of returns the ranked nodes of a server's zone. The slice must not be changed.
+// Of returns the ranked nodes of a server's zone. The caller must not modify the slice.
 func (r *Ranks) Of(server Server) []Node {
-	ranked, known := r.known[server]
-	if !known {
+	ranked, cached := r.cached[server]
+	if !cached {
 		ranked = Rank(server, r.byZone[server.Zone])
-		r.known[server] = ranked
+		r.cached[server] = ranked
 	}
 	return ranked
 }
--- a/internal/homes/homes_test.go
+++ b/internal/homes/homes_test.go
@@ -24,7 +24,7 @@
 	return Server{ID: discovery.ServerID(fmt.Sprintf("s%d", index)), Zone: "a"}
 }
 
-// A node is home to servers in proportion to the square of its share.
+// A node is home to a number of servers in proportion to the square of its share.
 func TestHomesFollowShares(t *testing.T) {
 	nodes := zone(10)
 	const servers = 20000
@@ -39,12 +39,13 @@
 	for _, node := range nodes {
 		wanted := servers * node.Share * node.Share / total
 		if got := float64(homes[node.Name]); math.Abs(got-wanted) > 0.1*wanted {
-			t.Errorf("%s is home to %v servers, wanted about %v", node.Name, got, wanted)
+			t.Errorf("%s is home to %v servers, want about %v", node.Name, got, wanted)
 		}
 	}
 }
 
-// A node that goes moves only the servers that it was home to, to those next in rank.
+// When a node leaves, only the servers that it was home to move, each to the next node in
+// its ranking.
 func TestFewHomesMove(t *testing.T) {
 	nodes := zone(10)
 	for index := range 2000 {
@@ -55,17 +56,17 @@
 			wanted = before[1].Name
 		}
 		if after[0].Name != wanted {
-			t.Fatalf("home of %s went from %s to %s, wanted %s", server(index).ID, before[0].Name, after[0].Name, wanted)
+			t.Fatalf("home of %s moved from %s to %s, want %s", server(index).ID, before[0].Name, after[0].Name, wanted)
 		}
 	}
 }
 
-// The home is in the server's zone; a zone without nodes has none.
+// The home is in the server's zone; servers in a zone without nodes have no home.
 func TestHomesAreInTheServersZone(t *testing.T) {
 	nodes := append(zone(4), Node{Name: "other", Zone: "b", Share: 100})
 	for index := range 100 {
 		if home := Rank(server(index), nodes)[0]; home.Zone != "a" {
-			t.Fatalf("home in zone %s", home.Zone)
+			t.Fatalf("home in zone %s, want zone a", home.Zone)
 		}
 	}
 	if ranked := Rank(Server{ID: "s", Zone: "c"}, nodes); len(ranked) != 0 {
@@ -73,17 +74,18 @@
 	}
 }
 
-// All nodes find the same ranks whatever order they know the nodes in, cached or not.
+// All nodes compute the same ranking whatever order they know the nodes in, and the cached
+// ranking is the same as the first.
 func TestRanksDoNotDependOnOrder(t *testing.T) {
 	nodes := zone(6)
-	turned := append([]Node{}, nodes[3:]...)
-	turned = append(turned, nodes[:3]...)
-	ranks := NewRanks(turned)
+	rotated := append([]Node{}, nodes[3:]...)
+	rotated = append(rotated, nodes[:3]...)
+	ranks := NewRanks(rotated)
 	for index := range 100 {
 		wanted := fmt.Sprint(Rank(server(index), nodes))
 		for range 2 {
 			if got := fmt.Sprint(ranks.Of(server(index))); got != wanted {
-				t.Fatalf("ranks %s, wanted %s", got, wanted)
+				t.Fatalf("ranking %s, want %s", got, wanted)
 			}
 		}
 	}
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// At rate, a piece takes 10 ms.
-	rate  = 100_000
-	piece = 1000
-	burst = 20 * time.Millisecond
+	// At this rate, a segment takes 10 ms.
+	rate    = 100_000
+	segment = 1000
+	burst   = 20 * time.Millisecond
 )
 
 func TestReserve(t *testing.T) {
@@ -26,22 +26,22 @@
 	} {
 		pacer := pace.New(rate, burst)
 		for index, ask := range asks {
-			if wait := pacer.Reserve(ask.at, piece); wait != ask.wait {
-				t.Errorf("%s: piece %d waits %v, want %v", name, index, wait, ask.wait)
+			if wait := pacer.Reserve(ask.at, segment); wait != ask.wait {
+				t.Errorf("%s: segment %d waits %v, want %v", name, index, wait, ask.wait)
 			}
 		}
 	}
 }
 
-// Whoever writes large answers, and however many do, a small one finds less than the burst
-// and one piece before it on the link.
+// However many writers send large responses, a small response waits for at most the burst
+// and one segment on the link.
 func TestLinkIsNeverBusyForLongerThanTheBurstAndAPiece(t *testing.T) {
 	pacer := pace.New(rate, burst)
 	const writers = 40
-	// ready holds when each writer may write the piece that it has reserved.
+	// ready holds the time at which each writer may write the segment that it has reserved.
 	ready := make([]time.Duration, writers)
 	for writer := range ready {
-		ready[writer] = pacer.Reserve(0, piece)
+		ready[writer] = pacer.Reserve(0, segment)
 	}
 	busyUntil, sent := time.Duration(0), 0
 	const length = 10 * time.Second
@@ -50,15 +50,15 @@
 			if ready[writer] > now {
 				continue
 			}
-			busyUntil = max(busyUntil, now) + piece*time.Second/rate
-			sent += piece
-			ready[writer] = now + pacer.Reserve(now, piece)
+			busyUntil = max(busyUntil, now) + segment*time.Second/rate
+			sent += segment
+			ready[writer] = now + pacer.Reserve(now, segment)
 		}
-		if most := burst + piece*time.Second/rate + time.Millisecond; busyUntil-now > most {
-			t.Fatalf("at %v the link is busy for %v with large answers, allowed: %v", now, busyUntil-now, most)
+		if most := burst + segment*time.Second/rate + time.Millisecond; busyUntil-now > most {
+			t.Fatalf("at %v the link is busy for %v with large responses, allowed: %v", now, busyUntil-now, most)
 		}
 	}
 	if want := int(rate * length.Seconds()); sent < want {
-		t.Errorf("%d bytes went out although the link carries %d", sent, want)
+		t.Errorf("%d bytes were sent although the link has capacity for %d", sent, want)
 	}
 }
--- a/internal/warmup/simulation_test.go
+++ b/internal/warmup/simulation_test.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-var simulationRuns = flag.Int("warmup.runs", 60, "how many seeds the simulation of senders plays")
+var simulationRuns = flag.Int("warmup.runs", 60, "number of seeds that the simulation of senders runs")
 
 const (
 	simulatedTick  = 10 * time.Millisecond
 	simulatedTime  = 30 * time.Second
 	simulatedNodes = 26
-	// leaseTime and renewTime are those of the registrations of package router.
+	// leaseTime and renewTime are the lease and the renewal interval of node registrations
+	// in package router.
 	leaseTime = 6 * time.Second
 	renewTime = 2 * time.Second
-	// feedDelay is how long a change takes at most to reach a node in steady state.
+	// feedDelay is the maximum time for a change to reach a node in steady state.
 	feedDelay = 500 * time.Millisecond
-	// registerTime is within what time nodes that start together register.
+	// registerTime is the period within which nodes that start together register.
 	registerTime = time.Second
 )
 
-// weakening switches one of the reasons off for which the sum is bounded.
-type weakening int
+// disabledRule selects a rule to disable on which the bounded sum depends.
+type disabledRule int
 
 const (
-	sound weakening = iota
-	// oldCopies lets nodes send however old their copy is, and noSettling at once when
-	// they start.
-	oldCopies
-	noSettling
+	noRuleDisabled disabledRule = iota
+	// ignoreCopyAge lets nodes send regardless of the age of their copy; skipSettling lets
+	// them send as soon as they have registered.
+	ignoreCopyAge
+	skipSettling
 )
 
-// snapshot is what the store held from a moment on.
+// snapshot is the set of nodes registered in the store from a point in time.
 type snapshot struct {
 	at    time.Time
 	nodes []Node
@@ -43,38 +44,38 @@
 // simulatedNode is a node with its copy of the store.
 type simulatedNode struct {
 	Node
-	rights *Rights
-	// up, frozen and cut say what becomes of it: cut off, it learns nothing and renews
-	// nothing, but still reaches the servers.
+	permits *Rights
+	// up, frozen and cut are the fault state of the node. A node that is cut off receives no
+	// updates and renews no registration, but still reaches the servers.
 	up, frozen, cut bool
 	delay           time.Duration
 	leaseUntil      time.Time
 	renewedAt       time.Time
 	copiedAt        time.Time
-	// known is the position of the snapshot that it knows; -1 means none.
+	// known is the index of the snapshot that the node has received; -1 means none.
 	known int
 }
 
 type simulation struct {
-	random  *rand.Rand
-	weak    weakening
-	nodes   []*simulatedNode
-	history []snapshot
-	arrived []time.Time
-	server  Server
-	// names counts the nodes that were ever there.
+	random   *rand.Rand
+	disabled disabledRule
+	nodes    []*simulatedNode
+	history  []snapshot
+	arrived  []time.Time
+	server   Server
+	// names counts the nodes that were ever added.
 	names int
 }
 
-func newSimulation(seed uint64, weak weakening) *simulation {
-	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), weak: weak, server: Server{ID: "cold", Zone: "z", Rate: usual}}
+func newSimulation(seed uint64, disabled disabledRule) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), disabled: disabled, server: Server{ID: "cold", Zone: "z", Rate: gatewayRate}}
 	for range simulatedNodes {
 		s.add(epoch)
 	}
 	return s
 }
 
-// add starts a node under a new name.
+// add starts a node with a new name.
 func (s *simulation) add(now time.Time) {
 	s.names++
 	name := string(rune('a'+s.names%26)) + string(rune('a'+s.names/26))
@@ -83,30 +84,30 @@
 	s.start(now, n)
 }
 
-// start begins a new process of a node.
+// start starts a new process of a node.
 func (s *simulation) start(now time.Time, n *simulatedNode) {
-	n.rights = NewRights(n.Name)
+	n.permits = NewRights(n.Name)
 	n.up, n.frozen = true, false
 	n.known = -1
 	n.copiedAt = time.Time{}
-	// It registers within some time, and learns of the others meanwhile.
+	// It registers within registerTime and learns of the other nodes meanwhile.
 	n.renewedAt = now.Add(time.Duration(s.random.Int64N(int64(registerTime))) - renewTime)
 	n.delay = time.Duration(s.random.Int64N(int64(feedDelay)))
 }
 
-// pick returns a node, mostly one that may send to the server.
+// pick returns a random node, with a preference for one that may send to the server.
 func (s *simulation) pick() *simulatedNode {
 	for range 20 {
 		n := s.nodes[s.random.IntN(len(s.nodes))]
-		if known := n.rights.servers[s.server.ID]; known != nil && known.sender && n.up && !n.cut {
+		if known := n.permits.servers[s.server.ID]; known != nil && known.sender && n.up && !n.cut {
 			return n
 		}
 	}
 	return s.nodes[s.random.IntN(len(s.nodes))]
 }
 
-// trouble lets something happen to the nodes.
-func (s *simulation) trouble(now time.Time) {
+// injectFault applies a random fault or recovery to the nodes.
+func (s *simulation) injectFault(now time.Time) {
 	n := s.pick()
 	switch s.random.IntN(8) {
 	case 0:
@@ -127,22 +128,23 @@
 	}
 }
 
-// startAll starts all nodes at once, sometimes after their registrations lapsed.
+// startAll restarts all nodes at once with a probability of 1/16, half of the time after
+// their registrations expired.
 func (s *simulation) startAll(now time.Time) {
 	if s.random.IntN(16) != 0 {
 		return
 	}
-	lapsed := s.random.IntN(2) == 0
+	expired := s.random.IntN(2) == 0
 	for _, n := range s.nodes {
 		s.start(now, n)
-		if lapsed {
+		if expired {
 			n.leaseUntil = time.Time{}
 		}
 	}
 }
 
-// store renews registrations and remembers who is registered.
-func (s *simulation) store(now time.Time) {
+// renewRegistrations renews registrations and records who is registered.
+func (s *simulation) renewRegistrations(now time.Time) {
 	var registered []Node
 	for _, n := range s.nodes {
 		if n.up && !n.frozen && !n.cut && now.Sub(n.renewedAt) >= renewTime {
@@ -158,8 +160,8 @@
 	}
 }
 
-// feed gives a node what the store held a little earlier.
-func (s *simulation) feed(now time.Time, n *simulatedNode) {
+// deliver updates the copy of a node to the state that the store had n.delay ago.
+func (s *simulation) deliver(now time.Time, n *simulatedNode) {
 	if n.cut {
 		return
 	}
@@ -169,7 +171,7 @@
 			n.copiedAt = asOf
 			if n.known != index {
 				n.known = index
-				n.rights.SetNodes(now, seen.nodes)
+				n.permits.SetNodes(now, seen.nodes)
 			}
 			return
 		}
@@ -178,29 +180,30 @@
 
 func (s *simulation) send(now time.Time, n *simulatedNode) {
 	copied := Copy{Age: now.Sub(n.copiedAt), Known: !n.copiedAt.IsZero()}
-	if s.weak == oldCopies {
+	if s.disabled == ignoreCopyAge {
 		copied.Age = 0
 	}
-	if s.weak == noSettling && !n.rights.registeredAt.IsZero() {
-		n.rights.registeredAt = now.Add(-settleTime)
+	if s.disabled == skipSettling && !n.permits.registeredAt.IsZero() {
+		n.permits.registeredAt = now.Add(-settleTime)
 	}
-	if n.rights.May(now, s.server, copied) {
-		n.rights.Sent(now, s.server)
+	if n.permits.May(now, s.server, copied) {
+		n.permits.Sent(now, s.server)
 		s.arrived = append(s.arrived, now)
 	}
 }
 
-// worst plays all and returns the most requests that arrived within a second.
-func (s *simulation) worst() int {
+// peakRate runs the simulation and returns the largest number of requests that arrived
+// within one second.
+func (s *simulation) peakRate() int {
 	most, first := 0, 0
 	for now := epoch; now.Before(epoch.Add(simulatedTime)); now = now.Add(simulatedTick) {
 		if s.random.IntN(12) == 0 {
-			s.trouble(now)
+			s.injectFault(now)
 		}
-		s.store(now)
+		s.renewRegistrations(now)
 		for _, n := range s.nodes {
 			if n.up && !n.frozen {
-				s.feed(now, n)
+				s.deliver(now, n)
 				s.send(now, n)
 			}
 		}
@@ -212,13 +215,14 @@
 	return most
 }
 
-// worstOf plays seeds until one exceeds the limit.
-func worstOf(runs int, weak weakening) (most int, seed uint64) {
+// highestPeak runs the seeds until one exceeds the limit, and returns the largest peak and
+// its seed.
+func highestPeak(runs int, disabled disabledRule) (most int, seed uint64) {
 	for next := range uint64(runs) {
-		if count := newSimulation(next, weak).worst(); count > most {
+		if count := newSimulation(next, disabled).peakRate(); count > most {
 			most, seed = count, next
 		}
-		if float64(most) > usual.Limit {
+		if float64(most) > gatewayRate.Limit {
 			break
 		}
 	}
@@ -226,18 +230,19 @@
 }
 
 func TestSumStaysWithinTheLimitWhateverHappensToNodes(t *testing.T) {
-	most, seed := worstOf(*simulationRuns, sound)
-	t.Logf("at most %d requests within a second (seed %d), %.0f allowed", most, seed, usual.Limit)
-	if float64(most) > usual.Limit {
-		t.Errorf("%d requests within a second with seed %d, %.2f allowed", most, seed, usual.Limit)
+	most, seed := highestPeak(*simulationRuns, noRuleDisabled)
+	t.Logf("at most %d requests within a second (seed %d), %.0f allowed", most, seed, gatewayRate.Limit)
+	if float64(most) > gatewayRate.Limit {
+		t.Errorf("%d requests within a second (seed %d), %.2f allowed", most, seed, gatewayRate.Limit)
 	}
 }
 
-// The simulation can see what it checks.
+// Checks that the simulation can detect a violation: with either rule disabled the limit is
+// exceeded.
 func TestWeakenedRightsExceedTheLimit(t *testing.T) {
-	for name, weak := range map[string]weakening{"old copies": oldCopies, "no settling": noSettling} {
-		if most, seed := worstOf(*simulationRuns, weak); float64(most) <= usual.Limit {
-			t.Errorf("%s: only %d requests within a second (seed %d)", name, most, seed)
+	for name, disabled := range map[string]disabledRule{"copy age rule": ignoreCopyAge, "settling rule": skipSettling} {
+		if most, seed := highestPeak(*simulationRuns, disabled); float64(most) <= gatewayRate.Limit {
+			t.Errorf("%s disabled: at most %d requests within a second (seed %d), want more than the limit", name, most, seed)
 		}
 	}
 }
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,19 +1,21 @@
-// Package warmup decides which nodes may send requests to a server that is warming up,
-// and how far apart. A server bears only a few requests a second until it is warm, from
-// all nodes together, and nodes do not ask each other before they send.
+// Package warmup decides which nodes may send requests to a server that is warming up, and
+// at what interval. Until it is warm, a server can handle only a few requests a second from
+// all nodes together, and nodes do not coordinate before they send.
 //
-// The right to send to a warming server belongs to a few nodes, its senders. Every node
-// finds them by itself, by rendezvous hashing over the registered nodes, and each of them
-// has an equal part of the server's rate and spaces its requests evenly.
+// Only a few nodes, the senders of the server, may send to it. Every node determines them
+// independently by rendezvous hashing over the registered nodes. Each sender has an equal
+// share of the server's rate and spaces its requests evenly.
 //
-// Invariant (bounded sum): in any second the nodes send a warming server at most twice
-// what its senders may send, and that is at most what it survives. A node that takes
-// another set of nodes for registered may find other senders, so the parts are chosen for
-// two whole sets. There are hardly ever more than two at the same time, because
-//   - a node whose copy of the store is not confirmed uses no right, so that a set of
-//     nodes that was replaced is forgotten within maxCopyAge;
-//   - a node that has just started, and may know only some of the nodes, uses none;
-//   - a lost node keeps its rights until its registration lapses, which takes longer.
+// Invariant (bounded sum): in any second the nodes together send a warming server at most
+// twice what one set of senders may send, and that is at most what the server can handle. A
+// node with a different view of the registered nodes may compute different senders, so the
+// shares are sized for two disjoint sets of senders. There are hardly ever more than two at
+// the same time, because
+//   - a node whose copy of the store is not confirmed does not send, so that a replaced
+//     set of nodes is no longer used after maxCopyAge;
+//   - a node that has just started, and may know only some of the nodes, does not send;
+//   - a node that is lost remains a sender until its registration expires, which takes
+//     longer.
 //
 // The package is pure: it has neither I/O nor a clock.
 package warmup
@@ -26,105 +28,110 @@
 )
 
 const (
-	// sendersPerServer is how many nodes may send to a warming server: one alone would
-	// leave the server without requests when it is lost, and many have parts of less
-	// than a request a second, which cannot be spaced within the bound.
+	// sendersPerServer is how many nodes may send to a warming server. With a single sender
+	// the server would receive no requests when that node is lost; with many senders each
+	// would have less than one request a second, which cannot be spaced within the bound.
 	sendersPerServer = 2
-	// sets is how many disjoint sets of senders the bound has to bear at a time.
-	sets = 2
-	// maxCopyAge is how old the confirmation of a node's copy of the store may be for it
-	// to send. It is far below the time to live of registrations (6 s), and above the age
-	// of a copy in steady state (at most 1.35 s, see package feed).
+	// senderSets is how many disjoint sets of senders the bound has to allow for at the same
+	// time.
+	senderSets = 2
+	// maxCopyAge is the maximum time since a node's copy of the store was last confirmed for
+	// the node to send. It is far below the TTL of registrations (6 s), and above the age of
+	// a copy in steady state (at most 1.35 s, see package feed).
 	maxCopyAge = 2 * time.Second
-	// settleTime is how long a node must have been registered, as far as it knows, before
-	// it sends: nodes that start together learn of each other within that time.
+	// settleTime is how long a node must have been registered, according to its own copy,
+	// before it sends: nodes that start together learn of each other within that time.
 	settleTime = 2 * time.Second
 )
 
-// Rate is what a service's warming servers bear.
+// Rate is the request rate that the warming servers of a service can handle.
 type Rate struct {
-	// PerSecond is how many requests a second a warming server is to get; 0 means that
-	// nothing bounds them.
+	// PerSecond is the target number of requests a second for a warming server. 0 means
+	// unlimited: callers must not consult Rights then, which would deny every request.
 	PerSecond float64
-	// Limit is how many requests within a second it survives.
+	// Limit is the maximum number of requests within a second that the server can handle.
 	Limit float64
 }
 
-// senders is how many nodes share the rate: fewer than usual if their parts of the limit
-// would be too small for their parts of the rate.
+// senders is how many nodes share the rate. It is fewer than sendersPerServer if their
+// shares of the limit would be too small for their shares of the rate.
 func (r Rate) senders() int {
 	for count := sendersPerServer; count > 1; count-- {
-		if 1+int(r.PerSecond/float64(count)) <= r.most(count) {
+		if 1+int(r.PerSecond/float64(count)) <= r.maxPerSender(count) {
 			return count
 		}
 	}
 	return 1
 }
 
-// most is how many requests within a second each of some senders may send.
-func (r Rate) most(senders int) int { return int(r.Limit) / (sets * senders) }
+// maxPerSender is how many requests within a second each of the given number of senders may
+// send.
+func (r Rate) maxPerSender(senders int) int { return int(r.Limit) / (senderSets * senders) }
 
-// interval is the pause between two requests of one sender, and false if none may be
-// sent. Requests that are an interval apart are at most 1 + 1 s/interval within a second.
+// interval is the time between two requests of one sender. The result is false if no
+// requests may be sent. Requests spaced by the interval number at most 1 + 1 s/interval
+// within a second.
 func (r Rate) interval() (time.Duration, bool) {
 	senders := r.senders()
-	most := r.most(senders)
-	if r.PerSecond <= 0 || most < 1 {
+	maxPerSender := r.maxPerSender(senders)
+	if r.PerSecond <= 0 || maxPerSender < 1 {
 		return 0, false
 	}
-	part := r.PerSecond / float64(senders)
-	// margin keeps requests that are to be most in a second from being one more.
+	share := r.PerSecond / float64(senders)
+	// margin makes the interval slightly longer, so that at most maxPerSender requests fall
+	// within a second rather than one more.
 	const margin = 1.02
-	return time.Duration(max(1/part, margin/float64(most)) * float64(time.Second)), true
+	return time.Duration(max(1/share, margin/float64(maxPerSender)) * float64(time.Second)), true
 }
 
 // Node is a registered node.
 type Node struct{ Name, Zone string }
 
-// Server is a server that warms up.
+// Server is a server that is warming up.
 type Server struct {
 	ID, Zone string
 	Rate     Rate
 }
 
-// Copy is what a node knows of how new its copy of the store is.
+// Copy describes how recent a node's copy of the store is.
 type Copy struct {
-	// Age is how long ago the store surely had nothing newer.
+	// Age is the time since the copy was last confirmed to be up to date.
 	Age time.Duration
-	// Known is false if that was never known.
+	// Known is false if the copy was never confirmed.
 	Known bool
 }
 
-// Rights are a node's rights to send to warming servers. They are not safe for
+// Rights tracks which warming servers a node may send to, and when. It is not safe for
 // concurrent use.
 type Rights struct {
 	self  string
 	nodes []Node
-	// registrations counts how often nodes was replaced.
-	registrations int
-	// registeredAt is when the node first saw itself among the nodes; zero if it is not.
+	// nodesVersion counts the replacements of nodes.
+	nodesVersion int
+	// registeredAt is when the node first found itself among the registered nodes; it is
+	// zero if the node is not registered.
 	registeredAt time.Time
-	servers      map[string]*right
+	servers      map[string]*permit
 }
 
-// right is what the node may send to one server.
-type right struct {
-	// sender is whether the node was one of the server's senders as of registrations.
-	sender        bool
-	registrations int
-	// nextAt is when it may send the next request.
+// permit is the state of a node's permission to send to one server.
+type permit struct {
+	// sender is whether the node was one of the server's senders as of nodesVersion.
+	sender       bool
+	nodesVersion int
+	// nextAt is the earliest time of the next request.
 	nextAt time.Time
 }
 
-// NewRights returns the rights of a node that is not registered yet.
+// NewRights returns the state of a node that is not registered yet.
 func NewRights(self string) *Rights {
-	return &Rights{self: self, servers: make(map[string]*right)}
+	return &Rights{self: self, servers: make(map[string]*permit)}
 }
 
-// SetNodes takes in which nodes are registered.
+// SetNodes replaces the set of registered nodes.
 func (r *Rights) SetNodes(now time.Time, nodes []Node) {
 	r.nodes = nodes
-	r.registrations++
+	r.nodesVersion++
 	registered := slices.ContainsFunc(nodes, func(n Node) bool { return n.Name == r.self })
 	switch {
 	case !registered:
@@ -134,7 +141,7 @@
 	}
 }
 
-// Forget drops what is known of a server that is warm or gone.
+// Forget drops the state of a server that is warm or gone.
 func (r *Rights) Forget(server string) { delete(r.servers, server) }
 
 // May reports whether this node may send a request to a warming server now.
@@ -148,45 +155,45 @@
 	if r.registeredAt.IsZero() || now.Sub(r.registeredAt) < settleTime {
 		return false
 	}
-	known := r.of(server)
-	return known.sender && !now.Before(known.nextAt)
+	current := r.permitFor(server)
+	return current.sender && !now.Before(current.nextAt)
 }
 
-// Sender reports whether this node is one of a server's senders, whatever it knows of how
-// new its copy of the store is.
-func (r *Rights) Sender(server Server) bool { return r.of(server).sender }
+// Sender reports whether this node is one of a server's senders, regardless of the age of
+// its copy of the store.
+func (r *Rights) Sender(server Server) bool { return r.permitFor(server).sender }
 
-// Sent takes in that a request is being sent to a warming server.
+// Sent records that a request is being sent to a warming server.
 func (r *Rights) Sent(now time.Time, server Server) {
 	interval, _ := server.Rate.interval()
-	r.of(server).nextAt = now.Add(interval)
+	r.permitFor(server).nextAt = now.Add(interval)
 }
 
-func (r *Rights) of(server Server) *right {
-	known := r.servers[server.ID]
-	if known == nil {
-		known = &right{}
-		r.servers[server.ID] = known
+func (r *Rights) permitFor(server Server) *permit {
+	current := r.servers[server.ID]
+	if current == nil {
+		current = &permit{}
+		r.servers[server.ID] = current
 	}
-	if known.registrations != r.registrations {
-		known.sender = slices.Contains(r.senders(server), r.self)
-		known.registrations = r.registrations
+	if current.nodesVersion != r.nodesVersion {
+		current.sender = slices.Contains(r.senders(server), r.self)
+		current.nodesVersion = r.nodesVersion
 	}
-	return known
+	return current
 }
 
-// senders returns the nodes that may send to a server: of the server's zone if there are
-// any there, because bodies are dear between zones.
+// senders returns the nodes that may send to a server: nodes of the server's zone if there
+// are any, because transferring bodies between zones is expensive.
 func (r *Rights) senders(server Server) []string {
-	var near, all []string
+	var inZone, all []string
 	for _, node := range r.nodes {
 		all = append(all, node.Name)
 		if node.Zone == server.Zone {
-			near = append(near, node.Name)
+			inZone = append(inZone, node.Name)
 		}
 	}
-	if len(near) == 0 {
-		near = all
+	if len(inZone) == 0 {
+		inZone = all
 	}
-	return rendezvous.Highest(server.ID, near, server.Rate.senders())
+	return rendezvous.Highest(server.ID, inZone, server.Rate.senders())
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -8,8 +8,9 @@
 
 var epoch = time.Unix(1000, 0)
 
-// usual is the rate of the users' gateway: 6.7 a second, 1.5 times that and 8 at most.
-var usual = Rate{PerSecond: 6.7, Limit: 6.7*1.5 + 8}
+// gatewayRate is the rate of the users' gateway: 6.7 requests a second, with a limit of 1.5
+// times that plus 8.
+var gatewayRate = Rate{PerSecond: 6.7, Limit: 6.7*1.5 + 8}
 
 func nodesOf(zones, perZone int) []Node {
 	var nodes []Node
@@ -25,14 +26,14 @@
 
 func TestTwoNodesOfTheZoneShareTheRate(t *testing.T) {
 	nodes := nodesOf(3, 20)
-	server := Server{ID: "s1", Zone: "z1", Rate: usual}
+	server := Server{ID: "s1", Zone: "z1", Rate: gatewayRate}
 	sent := make(map[string]int)
 	for _, node := range nodes {
-		rights := NewRights(node.Name)
-		rights.SetNodes(epoch, nodes)
+		permits := NewRights(node.Name)
+		permits.SetNodes(epoch, nodes)
 		for now := epoch.Add(settleTime); now.Before(epoch.Add(settleTime + 10*time.Second)); now = now.Add(10 * time.Millisecond) {
-			if rights.May(now, server, fresh) {
-				rights.Sent(now, server)
+			if permits.May(now, server, fresh) {
+				permits.Sent(now, server)
 				sent[node.Name]++
 				if node.Zone != "z1" {
 					t.Fatalf("%s of %s sends to a server of z1", node.Name, node.Zone)
@@ -51,7 +52,7 @@
 
 func TestNoRightWithoutKnowledge(t *testing.T) {
 	nodes := []Node{{Name: "a", Zone: "z"}}
-	server := Server{ID: "s1", Zone: "z", Rate: usual}
+	server := Server{ID: "s1", Zone: "z", Rate: gatewayRate}
 	settled := epoch.Add(settleTime)
 	for _, test := range []struct {
 		name   string
@@ -61,18 +62,18 @@
 		server Server
 		want   bool
 	}{
-		{"all is known", nodes, settled, fresh, server, true},
+		{"all conditions hold", nodes, settled, fresh, server, true},
 		{"the node has just registered", nodes, settled.Add(-time.Millisecond), fresh, server, false},
 		{"the node is not registered", []Node{{Name: "b", Zone: "z"}}, settled, fresh, server, false},
 		{"the copy is old", nodes, settled, Copy{Age: maxCopyAge + 1, Known: true}, server, false},
 		{"the copy was never confirmed", nodes, settled, Copy{}, server, false},
-		{"the server bears nothing", nodes, settled, fresh, Server{ID: "s1", Zone: "z"}, false},
-		{"no node of the zone is left", nodes, settled, fresh, Server{ID: "s1", Zone: "other", Rate: usual}, true},
+		{"the server has no rate", nodes, settled, fresh, Server{ID: "s1", Zone: "z"}, false},
+		{"no node of the zone is left", nodes, settled, fresh, Server{ID: "s1", Zone: "other", Rate: gatewayRate}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			rights := NewRights("a")
-			rights.SetNodes(epoch, test.nodes)
-			if got := rights.May(test.at, test.server, test.copied); got != test.want {
+			permits := NewRights("a")
+			permits.SetNodes(epoch, test.nodes)
+			if got := permits.May(test.at, test.server, test.copied); got != test.want {
 				t.Errorf("may send: %v, want %v", got, test.want)
 			}
 		})
@@ -80,47 +81,49 @@
 }
 
 func TestNodeThatIsRegisteredAgainSettlesAgain(t *testing.T) {
-	rights := NewRights("a")
+	permits := NewRights("a")
 	nodes := []Node{{Name: "a", Zone: "z"}}
-	server := Server{ID: "s1", Zone: "z", Rate: usual}
-	rights.SetNodes(epoch, nodes)
-	rights.SetNodes(epoch.Add(5*time.Second), nil)
-	rights.SetNodes(epoch.Add(6*time.Second), nodes)
-	if rights.May(epoch.Add(6*time.Second), server, fresh) {
-		t.Error("a node that has just been registered again sends")
+	server := Server{ID: "s1", Zone: "z", Rate: gatewayRate}
+	permits.SetNodes(epoch, nodes)
+	permits.SetNodes(epoch.Add(5*time.Second), nil)
+	permits.SetNodes(epoch.Add(6*time.Second), nodes)
+	if permits.May(epoch.Add(6*time.Second), server, fresh) {
+		t.Error("a node that has just registered again may send")
 	}
 }
 
-// Other registrations must not let a sender send sooner than its interval.
+// A change of the registered nodes must not let a sender send again before its interval has
+// passed.
 func TestIntervalOutlastsOtherRegistrations(t *testing.T) {
-	rights := NewRights("a")
+	permits := NewRights("a")
 	nodes := []Node{{Name: "a", Zone: "z"}}
-	server := Server{ID: "s1", Zone: "z", Rate: usual}
-	rights.SetNodes(epoch, nodes)
+	server := Server{ID: "s1", Zone: "z", Rate: gatewayRate}
+	permits.SetNodes(epoch, nodes)
 	now := epoch.Add(settleTime)
-	rights.Sent(now, server)
-	rights.SetNodes(now, append(nodes, Node{Name: "b", Zone: "z"}))
-	if rights.May(now.Add(10*time.Millisecond), server, fresh) {
-		t.Error("two requests within 10 ms")
+	permits.Sent(now, server)
+	permits.SetNodes(now, append(nodes, Node{Name: "b", Zone: "z"}))
+	if permits.May(now.Add(10*time.Millisecond), server, fresh) {
+		t.Error("a second request was permitted within 10 ms")
 	}
 }
 
-// Whatever a service's figures are, two whole sets of senders stay within the limit.
+// Two disjoint sets of senders together stay within the limit for any configured rate and
+// limit.
 func TestTwoSetsOfSendersStayWithinTheLimit(t *testing.T) {
-	for _, rate := range []Rate{usual, {6.7, 7}, {2, 3}, {1, 1.5}, {0.5, 20}, {40, 68}, {3, 1}, {20, 20}} {
+	for _, rate := range []Rate{gatewayRate, {6.7, 7}, {2, 3}, {1, 1.5}, {0.5, 20}, {40, 68}, {3, 1}, {20, 20}} {
 		interval, some := rate.interval()
 		if !some {
-			if rate.Limit >= sets {
-				t.Errorf("%+v: nothing is sent", rate)
+			if rate.Limit >= senderSets {
+				t.Errorf("%+v: no request is permitted", rate)
 			}
 			continue
 		}
 		perSender := 1 + int((time.Second-1)/interval)
-		if sum := perSender * rate.senders() * sets; float64(sum) > rate.Limit {
-			t.Errorf("%+v: %d senders send up to %d each, %d with another set", rate, rate.senders(), perSender, sum)
+		if sum := perSender * rate.senders() * senderSets; float64(sum) > rate.Limit {
+			t.Errorf("%+v: %d senders send up to %d requests each, %d with the second set", rate, rate.senders(), perSender, sum)
 		}
 		if got := float64(rate.senders()) / interval.Seconds(); got > rate.PerSecond*1.001 {
-			t.Errorf("%+v: %.2f a second", rate, got)
+			t.Errorf("%+v: %.2f requests a second exceed the rate", rate, got)
 		}
 	}
 }
