--- a/cmd/micahaven-lab/demo.go
+++ b/cmd/micahaven-lab/demo.go
@@ -18,7 +18,7 @@
 	return &ffcli.Command{
 		Name:       "demo",
 		ShortUsage: "micahaven-lab demo [flags]",
-		ShortHelp:  "Start a whole system, move load, kill a server, and show what happened.",
+		ShortHelp:  "Start a complete system, move load, kill a server, and show what happened.",
 		FlagSet:    set,
 		Exec: func(ctx context.Context, _ []string) error {
 			return withDirectory(*program, func(programs cluster.Programs, directory string) error {
@@ -34,7 +34,7 @@
 	return &ffcli.Command{
 		Name:       "up",
 		ShortUsage: "micahaven-lab up [flags]",
-		ShortHelp:  "Start the demonstration's system and leave it running until interrupted.",
+		ShortHelp:  "Start the system of the demo and keep it running until interrupted.",
 		FlagSet:    set,
 		Exec: func(ctx context.Context, _ []string) error {
 			return withDirectory(*program, func(programs cluster.Programs, directory string) error {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// withDirectory runs something with a directory for settings and logs, which is
-// left behind when it fails.
+// withDirectory calls run with a temporary directory for settings and logs, which is kept if run
+// fails.
 func withDirectory(micahaven string, run func(programs cluster.Programs, directory string) error) error {
 	programs, err := programs(micahaven)
 	if err != nil {
--- a/cmd/micahaven-lab/experiment.go
+++ b/cmd/micahaven-lab/experiment.go
@@ -19,18 +19,18 @@
 	program := set.String("micahaven", "bin/micahaven", "path of the micahaven program")
 	faults := set.String("faults", "each", `faults with commas between runs and plus signs within one; "each" or "pairs"`)
 	deployment := set.String("deployment", "small", "small, tintamezcla or umurage")
-	runs := set.Int("runs", 1, "runs of each set of faults, with one seed after the other")
+	runs := set.Int("runs", 1, "runs of each set of faults, with consecutive seeds")
 	seed := set.Uint64("seed", 1, "first seed")
-	rate := set.Float64("rate", 400, "requests a second")
-	outage := set.Duration("outage", 2*time.Second, "length of freezes, cuts and outages")
-	settle := set.Duration("settle", 3*time.Second, "how long the load goes on afterwards")
-	keep := set.Bool("keep-logs", false, "leave the logs of all processes behind")
-	parallel := set.Int("parallel", 1, "runs at a time")
+	rate := set.Float64("rate", 400, "requests per second")
+	outage := set.Duration("outage", 2*time.Second, "duration of freezes, network cuts and outages")
+	settle := set.Duration("settle", 3*time.Second, "how long the load continues after the faults")
+	keep := set.Bool("keep-logs", false, "keep the logs of all processes")
+	parallel := set.Int("parallel", 1, "number of concurrent runs")
 	output := set.String("report", "", "directory for the results as JSON and for the report")
 	return &ffcli.Command{
 		Name:       "experiment",
 		ShortUsage: "micahaven-lab experiment [flags]",
-		ShortHelp:  "Run systems of processes under load and faults, and check every promise.",
+		ShortHelp:  "Run systems of processes under load and faults, and check all guarantees.",
 		LongHelp: `Ends with 1 when a promise was broken or a run failed.
 
 Examples:
@@ -120,7 +120,7 @@
 	for _, result := range results {
 		broken += len(result.Violations)
 	}
-	fmt.Printf("%d runs, %d violations, %d runs that failed\n", len(results), broken, len(failures))
+	fmt.Printf("%d runs, %d violations, %d failed runs\n", len(results), broken, len(failures))
 	if broken > 0 || len(failures) > 0 {
 		return fmt.Errorf("%d violations, %d failed runs", broken, len(failures))
 	}
--- a/cmd/micahaven-lab/main.go
+++ b/cmd/micahaven-lab/main.go
@@ -1,5 +1,5 @@
-// Command micahaven-lab holds the stand-ins, the load and the experiments. None
-// of it is linked into micahaven.
+// Command micahaven-lab runs the simulated platform and servers, the load generator and the
+// experiments. None of its code is linked into micahaven.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	root := &ffcli.Command{
 		Name:       "micahaven-lab",
 		ShortUsage: "micahaven-lab <subcommand> [flags]",
-		ShortHelp:  "Stand-ins, load and experiments for micahaven.",
+		ShortHelp:  "Simulated platform and servers, load generator and experiments for micahaven.",
 		FlagSet:    flag.NewFlagSet("micahaven-lab", flag.ContinueOnError),
 		Exec:       func(context.Context, []string) error { return flag.ErrHelp },
 		Subcommands: []*ffcli.Command{
--- a/cmd/micahaven-lab/report.go
+++ b/cmd/micahaven-lab/report.go
@@ -13,7 +13,7 @@
 	set := flag.NewFlagSet("micahaven-lab report", flag.ContinueOnError)
 	results := set.String("results", "out/bench", "directory with the results")
 	output := set.String("output", "docs", "directory for the page and the plot")
-	note := set.String("note", "", "what was special about the runs, for the page")
+	note := set.String("note", "", "note on the runs that is added to the page")
 	return &ffcli.Command{
 		Name:       "report",
 		ShortUsage: "micahaven-lab report [flags]",
--- a/cmd/micahaven-lab/standins.go
+++ b/cmd/micahaven-lab/standins.go
@@ -22,7 +22,7 @@
 	return &ffcli.Command{
 		Name:       "platform",
 		ShortUsage: "micahaven-lab platform [flags]",
-		ShortHelp:  "Run the stand-in for the key-value service and the machine list.",
+		ShortHelp:  "Run a simulated key-value service and machine list.",
 		FlagSet:    set,
 		Exec: func(ctx context.Context, _ []string) error {
 			return serve(ctx, *listen, platform.New().Register)
@@ -35,15 +35,15 @@
 	listen := set.String("listen", "127.0.0.1:0", "address, host:port")
 	var options server.Options
 	set.StringVar(&options.ID, "id", "server", "name of the server")
-	set.IntVar(&options.Slots, "slots", 2, "requests that run at a time")
-	set.DurationVar(&options.Work, "work", time.Millisecond, "how long a request runs")
-	set.DurationVar(&options.ColdStart, "cold-start", 0, "how much longer the first request runs")
-	set.IntVar(&options.ColdRequests, "cold-requests", 0, "requests until the server is warm")
-	set.BoolVar(&options.Ungoverned, "ungoverned", false, "answer callers directly, without grants, to compare latencies")
+	set.IntVar(&options.Slots, "slots", 2, "number of requests that run concurrently")
+	set.DurationVar(&options.Work, "work", time.Millisecond, "duration of a request")
+	set.DurationVar(&options.ColdStart, "cold-start", 0, "additional duration of the first request")
+	set.IntVar(&options.ColdRequests, "cold-requests", 0, "number of requests until the server is warm")
+	set.BoolVar(&options.Ungoverned, "ungoverned", false, "answer clients directly, without grants, to compare latencies")
 	return &ffcli.Command{
 		Name:       "server",
 		ShortUsage: "micahaven-lab server [flags]",
-		ShortHelp:  "Run a stand-in server that owns keys.",
+		ShortHelp:  "Run a simulated server that owns keys.",
 		FlagSet:    set,
 		Exec: func(ctx context.Context, _ []string) error {
 			return serve(ctx, *listen, server.New(options).Register)
@@ -51,7 +51,7 @@
 	}
 }
 
-const stopLimit = 5 * time.Second
+const shutdownTimeout = 5 * time.Second
 
 // serve runs an HTTP server until the context ends, and prints its address.
 func serve(ctx context.Context, address string, register func(*echo.Echo)) error {
@@ -69,9 +69,9 @@
 	router.Server.Handler = router
 	go func() {
 		<-ctx.Done()
-		stopping, cancel := context.WithTimeout(context.Background(), stopLimit)
+		stopping, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		// The process ends next, whether or not all requests have.
+		// The process exits next even if some requests are still running.
 		_ = router.Server.Shutdown(stopping)
 	}()
 	if err := router.Server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/cmd/micahaven-router/main.go
+++ b/cmd/micahaven-router/main.go
@@ -1,4 +1,4 @@
-// Command micahaven-router is the router's daemon on the users' platform.
+// Command micahaven-router runs a router node on the users' platform.
 package main
 
 import (
--- a/cmd/micahaven-soak/main.go
+++ b/cmd/micahaven-soak/main.go
@@ -1,5 +1,5 @@
-// Command micahaven-soak runs router processes under random faults and checks the
-// router's promises. It ends with 1 if one was broken, and keeps the logs then.
+// Command micahaven-soak runs router processes under random faults and checks the router's
+// guarantees. If one was violated, it exits with status 1 and keeps the logs.
 package main
 
 import (
@@ -14,27 +14,27 @@
 	"github.com/micahaven/micahaven/internal/soak"
 )
 
-// mostNodes bounds the number of processes; each takes some 30 MB.
-const mostNodes = 150
+// maxNodes bounds the number of processes; each takes some 30 MB.
+const maxNodes = 150
 
 func main() {
-	router := flag.String("router", "bin/micahaven-router", "path of the router's program")
+	router := flag.String("router", "bin/micahaven-router", "path of the router executable")
 	seed := flag.Uint64("seed", uint64(time.Now().UnixNano()), "seed of the first round; each further one has the next seed")
 	rounds := flag.Int("rounds", 1, "number of rounds")
-	nodes := flag.Int("nodes", 4, fmt.Sprintf("number of router processes, 1 to %d", mostNodes))
+	nodes := flag.Int("nodes", 4, fmt.Sprintf("number of router processes, 1 to %d", maxNodes))
 	length := flag.Duration("length", 30*time.Second, "how long faults are injected in a round")
-	planned := flag.Bool("planned", false, "play planned work beside servers that misbehave instead of random faults")
-	needs := flag.Bool("needs", false, "let servers ask for limits, rest and an end in their answers, and crash of some requests, beside the random faults")
-	restores := flag.Bool("restores", false, "restore the store from older copies of itself, beside the random faults")
-	logs := flag.String("logs", "", "folder in which the logs are kept; the system's one for temporary files if left out")
+	planned := flag.Bool("planned", false, "run planned work with misbehaving servers instead of random faults")
+	needs := flag.Bool("needs", false, "in addition to the random faults, let servers announce limits, request backoff and announce that they leave in their responses, and crash on some requests")
+	restores := flag.Bool("restores", false, "in addition to the random faults, restore the store from older copies of itself")
+	logs := flag.String("logs", "", "directory in which the logs are kept; the system's temporary directory if left out")
 	flag.Parse()
-	if *nodes < 1 || *nodes > mostNodes {
-		fmt.Fprintf(os.Stderr, "field nodes: %d, allowed: 1 to %d\n", *nodes, mostNodes)
+	if *nodes < 1 || *nodes > maxNodes {
+		fmt.Fprintf(os.Stderr, "field nodes: %d, allowed: 1 to %d\n", *nodes, maxNodes)
 		os.Exit(2)
 	}
 	broken := 0
 	for round := range *rounds {
-		broken += play(*logs, soak.Options{
+		broken += runRound(*logs, soak.Options{
 			Router: *router, Seed: *seed + uint64(round), Nodes: *nodes, Length: *length, Planned: *planned, Needs: *needs, Restores: *restores,
 		})
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// play runs one round and returns how many promises were broken.
-func play(logs string, options soak.Options) int {
+// runRound runs one round and returns the number of violated guarantees.
+func runRound(logs string, options soak.Options) int {
 	folder, err := os.MkdirTemp(logs, "micahaven-soak-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -67,7 +67,7 @@
 		fmt.Println("  " + breach)
 	}
 	if len(result.Breaches) == 0 {
-		// Only logs of broken promises are kept.
+		// Logs are kept only if a guarantee was violated.
 		_ = os.RemoveAll(folder)
 	} else {
 		fmt.Println("  logs: " + folder)
@@ -75,9 +75,9 @@
 	return len(result.Breaches)
 }
 
-// report prints the figures of a round.
+// report prints the results of a round.
 func report(options soak.Options, result *soak.Result) {
-	fmt.Printf("seed %d: %d processes (%d started), %d faults in %v, %d requests, %.3f served, %.3f after the faults, %d promises broken\n",
+	fmt.Printf("seed %d: %d processes (%d started), %d faults in %v, %d requests, %.3f served, %.3f after the faults, %d guarantees violated\n",
 		result.Seed, result.Processes, result.Started, result.Faults, options.Length, result.Requests,
 		float64(result.Served)/float64(max(1, result.Requests)), result.ServedAfter, len(result.Breaches))
 	if !options.Planned {
@@ -89,7 +89,7 @@
 		fmt.Printf(", %d %s", result.Ends[end], end)
 	}
 	fmt.Println()
-	for _, story := range result.Excused {
-		fmt.Println("  not counted as lost: " + story)
+	for _, excused := range result.Excused {
+		fmt.Println("  not counted as lost: " + excused)
 	}
 }
--- a/cmd/micahaven/main.go
+++ b/cmd/micahaven/main.go
@@ -1,5 +1,5 @@
-// Command micahaven is the router: "micahaven node" is the daemon that every
-// machine runs, and the other subcommands are the operators' tools.
+// Command micahaven is the router: "micahaven node" is the daemon that runs on every machine, and
+// the other subcommands are tools for operators.
 package main
 
 import (
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads elapsed time that also runs while the machine is
-// suspended, which leases need: a process that slept must find them lapsed.
+// Package clock measures elapsed time including the time while the machine is suspended. Leases
+// need that: after a suspension a process must find them expired.
 package clock
 
 import (
@@ -8,30 +8,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the time elapsed since a fixed but unspecified moment.
+// Clock returns the time elapsed since a fixed but unspecified point in time.
 type Clock func() time.Duration
 
-// Boot reads CLOCK_BOOTTIME, which keeps running through suspension and is
-// not set by operators or by time synchronisation.
+// Boot reads CLOCK_BOOTTIME, which includes suspension and is not set by operators or by time
+// synchronisation.
 func Boot() time.Duration {
 	var spec unix.Timespec
-	// The call fails only for an unknown clock; Linux has had this one since 2.6.39.
+	// The call fails only for an unknown clock; Linux has supported this one since 2.6.39.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec)
 	return time.Duration(spec.Nano())
 }
 
-// driftPermille is the greatest difference in rate allowed between two clocks,
-// in thousandths: well above the 200 ppm that common oscillators keep.
+// driftPermille is the greatest difference in rate allowed between two clocks, in thousandths. It
+// is well above the 200 ppm within which common oscillators stay.
 const driftPermille = 10
 
-// Shorten returns a duration that is no longer than d on any clock within the
-// drift allowance. The side that acts under a lease uses it.
+// Shorten returns a duration that is no longer than d on any clock within the allowed drift. The
+// holder of a lease uses it.
 func Shorten(d time.Duration) time.Duration {
 	return d * (1000 - driftPermille) / 1000
 }
 
-// Stretch returns a duration that is no shorter than d on any clock within the
-// drift allowance. The side that waits for a lease to lapse uses it.
+// Stretch returns a duration that is no shorter than d on any clock within the allowed drift. The
+// side that waits for a lease to expire uses it.
 func Stretch(d time.Duration) time.Duration {
 	return d * (1000 + driftPermille) / 1000
 }
--- a/internal/explain/causes.go
+++ b/internal/explain/causes.go
@@ -10,36 +10,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Cause is why requests of a service were not answered, about one server.
+// Cause is a reason why requests of a service failed, for one server.
 type Cause struct {
 	Service string
-	// Reason is the error without what differs from request to request.
+	// Reason is the error with addresses, servers and numbers replaced by placeholders.
 	Reason string
-	// Server is the one that the error names, or else the last one that was asked;
-	// empty if there was none.
+	// Server is the one that the error names, or else the last one that the request was sent
+	// to; empty if there was none.
 	Server string
 	Count  int
-	// First and Last are when it was seen.
+	// First and Last are the times of the first and the last failure.
 	First, Last time.Time
-	// WorstSecond is the second with the most of these requests, WorstCount their
-	// number.
+	// WorstSecond is the second with the most of these failures, WorstCount their number.
 	WorstSecond time.Time
 	WorstCount  int
 }
 
 var (
-	// addressPattern finds addresses of connections, with or without the other end.
+	// addressPattern matches the address of a connection, with or without the remote one.
 	addressPattern = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+(->\d+\.\d+\.\d+\.\d+:\d+)?`)
-	// serverPattern finds ids of servers in errors.
+	// serverPattern matches the ID of a server in an error.
 	serverPattern = regexp.MustCompile(`\b(owner|from|server) (\S*\d\S*)`)
 	numberPattern = regexp.MustCompile(`\b\d+(\.\d+)?\b`)
 )
 
-// causeKey is what the failures of one cause have in common.
+// causeKey identifies a cause.
 type causeKey struct{ service, reason, server string }
 
-// Causes sums up the requests that were not answered, the most frequent cause
-// first.
+// Causes groups the failed requests by cause, the most frequent cause first.
 func (l *Log) Causes() []Cause {
 	seconds := make(map[causeKey]map[time.Time]int)
 	found := make(map[causeKey]*Cause)
@@ -88,35 +86,35 @@
 	return causeKey{textOf(line.Fields, fieldService), reason, server}
 }
 
-// WriteCauses writes the most frequent causes, a line each, and what the others
-// sum up to. It reports whether there were any.
-func (l *Log) WriteCauses(writer io.Writer, most int) (bool, error) {
+// WriteCauses writes up to limit of the most frequent causes, a line each, and the total of the
+// others. It reports whether there were any.
+func (l *Log) WriteCauses(writer io.Writer, limit int) (bool, error) {
 	causes := l.Causes()
 	others := 0
 	for index, cause := range causes {
-		if index >= most {
+		if index >= limit {
 			others += cause.Count
 			continue
 		}
 		_, err := fmt.Fprintf(writer, "%6d %s %s: %s (%s to %s, most %d in the second of %s)\n",
-			cause.Count, cause.Service, orNone(cause.Server), cause.Reason,
+			cause.Count, cause.Service, serverOrNone(cause.Server), cause.Reason,
 			cause.First.Format(timeOfDay), cause.Last.Format(timeOfDay), cause.WorstCount, cause.WorstSecond.Format(time.TimeOnly))
 		if err != nil {
 			return true, errors.Wrap(err, "write causes")
 		}
 	}
 	if others > 0 {
-		if _, err := fmt.Fprintf(writer, "%6d of %d further causes\n", others, len(causes)-most); err != nil {
+		if _, err := fmt.Fprintf(writer, "%6d of %d further causes\n", others, len(causes)-limit); err != nil {
 			return true, errors.Wrap(err, "write causes")
 		}
 	}
 	return len(causes) > 0, nil
 }
 
-// timeOfDay is how moments are written.
+// timeOfDay is the format of times in the output.
 const timeOfDay = "15:04:05.000"
 
-func orNone(server string) string {
+func serverOrNone(server string) string {
 	if server == "" {
 		return "no server"
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,5 @@
-// Package explain tells the story of a request or a key from the log lines of
-// router nodes. Lines of nodes that are missing, cut short or not JSON are passed
-// over and counted.
+// Package explain reconstructs what happened to a request or a key from the log lines of router
+// nodes. Lines that are truncated or not JSON are skipped and counted.
 package explain
 
 import (
@@ -42,15 +41,15 @@
 	Fields  map[string]any
 }
 
-// Log holds lines of all nodes in order of time.
+// Log holds the lines of all nodes, ordered by time.
 type Log struct {
 	lines []Line
-	// Skipped counts lines that are no log lines.
+	// Skipped counts input lines that could not be parsed as log lines.
 	Skipped int
 }
 
-// Read adds the lines of a reader. Anything before the first brace of a line, such
-// as a prefix of whatever collected it, is passed over.
+// Read adds the lines of a reader. Anything before the first brace of a line, such as the prefix
+// of a log collector, is ignored.
 func (l *Log) Read(reader io.Reader) error {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLine)
@@ -87,9 +86,9 @@
 	return text
 }
 
-// Request writes what happened to a request, preceded by what its node had last
-// learned of its configuration, its server and its service's manager. It reports
-// whether the request was found.
+// Request writes the log lines of a request, each preceded by the latest lines that show on which
+// state its node decided: lines of the node about itself or the request's server, and lines of any
+// node about the service, such as its manager. It reports whether the request was found.
 func (l *Log) Request(writer io.Writer, id string) (bool, error) {
 	found := false
 	for index, line := range l.lines {
@@ -97,8 +96,8 @@
 			continue
 		}
 		found = true
-		for _, belief := range l.beliefs(index) {
-			if err := write(writer, "believed", belief); err != nil {
+		for _, entry := range l.lastKnown(index) {
+			if err := write(writer, "believed", entry); err != nil {
 				return found, err
 			}
 		}
@@ -109,9 +108,9 @@
 	return found, nil
 }
 
-// beliefs returns the last lines before one by which its node came to believe
-// what decided it.
-func (l *Log) beliefs(index int) []Line {
+// lastKnown returns, for the line at an index, the latest earlier line with each message that
+// shows on which state its node decided.
+func (l *Log) lastKnown(index int) []Line {
 	line := l.lines[index]
 	server := textOf(line.Fields, fieldServer)
 	service := textOf(line.Fields, fieldService)
@@ -127,15 +126,16 @@
 			latest[earlier.Message] = earlier
 		}
 	}
-	var beliefs []Line
-	for _, belief := range latest {
-		beliefs = append(beliefs, belief)
+	var lastKnown []Line
+	for _, entry := range latest {
+		lastKnown = append(lastKnown, entry)
 	}
-	sort.Slice(beliefs, func(i, j int) bool { return beliefs[i].At.Before(beliefs[j].At) })
-	return beliefs
+	sort.Slice(lastKnown, func(i, j int) bool { return lastKnown[i].At.Before(lastKnown[j].At) })
+	return lastKnown
 }
 
-// Key writes who owned a key over time. It reports whether anything was found.
+// Key writes the lines about ranges that contain a key, which show its owners over time. It
+// reports whether there were any.
 func (l *Log) Key(writer io.Writer, key uint32) (bool, error) {
 	found := false
 	for _, line := range l.lines {
@@ -168,5 +168,5 @@
 	}
 	_, err := fmt.Fprintf(writer, "%s %s %s: %s %s\n",
 		line.At.Format(timeOfDay), label, line.Node, line.Message, strings.Join(parts, " "))
-	return errors.Wrap(err, "write story")
+	return errors.Wrap(err, "write explanation")
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -27,38 +27,38 @@
 	return log
 }
 
-func TestRequestIsToldWithWhatItsNodeBelieved(t *testing.T) {
-	var story strings.Builder
-	found, err := read(t).Request(&story, "abc")
+func TestRequestIsWrittenWithWhatItsNodeKnew(t *testing.T) {
+	var output strings.Builder
+	found, err := read(t).Request(&output, "abc")
 	if err != nil || !found {
 		t.Fatalf("found %v, error %v", found, err)
 	}
-	told := strings.Split(strings.TrimSpace(story.String()), "\n")
-	if len(told) != 3 {
-		t.Fatalf("told %d lines:\n%s", len(told), story.String())
+	written := strings.Split(strings.TrimSpace(output.String()), "\n")
+	if len(written) != 3 {
+		t.Fatalf("%d lines written:\n%s", len(written), output.String())
 	}
 	for index, want := range []string{"version=4", "server draining", "request failed"} {
-		if !strings.Contains(told[index], want) {
-			t.Errorf("line %d is %q, want %q in it", index, told[index], want)
+		if !strings.Contains(written[index], want) {
+			t.Errorf("line %d is %q, want %q in it", index, written[index], want)
 		}
 	}
-	if strings.Contains(story.String(), "n2") {
-		t.Errorf("told what another node believed:\n%s", story.String())
+	if strings.Contains(output.String(), "n2") {
+		t.Errorf("written with the state of another node:\n%s", output.String())
 	}
 }
 
-func TestKeyIsToldByItsRanges(t *testing.T) {
-	var story strings.Builder
-	if found, err := read(t).Key(&story, 150); err != nil || !found || !strings.Contains(story.String(), "server=s2") {
-		t.Fatalf("found %v, error %v, story %q", found, err, story.String())
+func TestKeyIsWrittenWithItsRanges(t *testing.T) {
+	var output strings.Builder
+	if found, err := read(t).Key(&output, 150); err != nil || !found || !strings.Contains(output.String(), "server=s2") {
+		t.Fatalf("found %v, error %v, output %q", found, err, output.String())
 	}
-	if found, _ := read(t).Key(&story, 201); found {
-		t.Fatal("found a key that no line is about")
+	if found, _ := read(t).Key(&output, 201); found {
+		t.Fatal("found a key that is in no line's range")
 	}
 }
 
 func TestOtherLinesAreCounted(t *testing.T) {
-	// The empty first line, the text and the line that was cut short.
+	// The empty first line, the plain text and the truncated line.
 	if skipped := read(t).Skipped; skipped != 3 {
 		t.Fatalf("skipped %d lines", skipped)
 	}
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,5 +1,5 @@
-// Package identity names the processes that take part: nodes of micahaven and
-// the servers that own keys.
+// Package identity defines the identifiers of micahaven nodes, of the servers that own keys, and
+// of services.
 package identity
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// NodeID names a micahaven node. It stays the same across restarts.
+// NodeID identifies a micahaven node. It stays the same across restarts.
 type NodeID string
 
-// ServerID names a server that owns keys.
+// ServerID identifies a server that owns keys.
 type ServerID string
 
 // ServiceName names a service of the operators' table.
 type ServiceName string
 
-// Incarnation tells the lives of one node apart: a process draws a new one
-// when it starts, because it remembers nothing of its earlier life.
+// Incarnation identifies one run of a node's process: a process draws a new one when it starts,
+// because it keeps no state of the previous run.
 type Incarnation uint64
 
 // NewIncarnation draws a random, non-zero incarnation.
@@ -31,7 +31,7 @@
 	return Incarnation(binary.LittleEndian.Uint64(raw[:]) | 1)
 }
 
-// MemberKey identifies one life of one node, usable as a map key.
+// MemberKey identifies one incarnation of a node. It can be used as a map key.
 type MemberKey struct {
 	Node        NodeID
 	Incarnation Incarnation
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -1,5 +1,5 @@
-// Package machines reads the platform's list of machines. The list lags, so it
-// is a hint about who exists, never a proof that somebody is gone.
+// Package machines reads the platform's list of machines. The list lags behind, so it is a hint
+// about which machines exist and never proves that one is gone.
 package machines
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/micahaven/micahaven/internal/identity"
 )
 
-// Kind tells nodes and servers apart.
+// Kind is the kind of a machine: a node or a server.
 type Kind string
 
 // The kinds of machine.
@@ -22,7 +22,7 @@
 	KindServer Kind = "server"
 )
 
-// State is what the platform says of a machine.
+// State is the state of a machine as the platform reports it.
 type State string
 
 // The states of a machine.
@@ -38,7 +38,7 @@
 	Service identity.ServiceName `json:"service,omitempty"`
 	Site    string               `json:"site,omitempty"`
 	Zone    string               `json:"zone"`
-	// Address is host:port: the inner protocol of a node, HTTP of a server.
+	// Address is a host:port, at which a node speaks the inter-node protocol and a server HTTP.
 	Address string `json:"address"`
 	State   State  `json:"state"`
 }
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic repeats a step until a context ends.
+// Package periodic calls a function at an interval until a context ends.
 package periodic
 
 import (
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Run calls step at once and then after every interval, until the context ends.
-// A step that takes longer than the interval delays the next one. It returns nil,
-// so that it can be an actor's loop.
+// Run calls step immediately and then at every interval, until the context ends. A step that takes
+// longer than the interval delays the next one. Run always returns nil; the result lets it be the
+// execute function of a run.Group actor.
 func Run(ctx context.Context, interval time.Duration, step func(context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -22,7 +22,7 @@
 	}
 }
 
-// Pause waits for a length of time or until the context ends.
+// Pause waits for a duration or until the context ends.
 func Pause(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous chooses some of many by hashing: everybody who knows the same names
-// finds the same ones for a key, and a name that comes or goes changes the choice of few
-// keys.
+// Package rendezvous implements rendezvous hashing (highest random weight): all processes that
+// know the same names choose the same ones for a key, and adding or removing a name changes the
+// choice for few keys.
 package rendezvous
 
 import (
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// Score is how much a name is preferred for a key: the greater the better.
+// Score returns the weight of a name for a key. Names with greater scores are preferred.
 func Score(key, name string) uint64 {
 	sum := fnv.New64a()
 	// Writing to a hash never fails.
@@ -19,8 +19,8 @@
 	return mix(sum.Sum64())
 }
 
-// Highest returns the names with the greatest scores for a key, the best first: count of
-// them, or all if there are fewer.
+// Highest returns the count names with the greatest scores for a key, or all if there are fewer,
+// in descending order of score.
 func Highest(key string, names []string, count int) []string {
 	type scored struct {
 		name  string
@@ -38,8 +38,8 @@
 	return best
 }
 
-// mix spreads the bits of a hash whose last bytes hardly reach the highest bits; it is
-// the finalizer of MurmurHash3.
+// mix is the finalizer of MurmurHash3. It is needed because the last bytes of the input hardly
+// affect the highest bits of an FNV-1a hash.
 func mix(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -16,8 +16,7 @@
 	return names
 }
 
-// Each name is chosen about as often as the others, also if names differ in their last
-// characters only.
+// All names must be chosen about equally often, even if they differ only in their last characters.
 func TestChoiceIsSpread(t *testing.T) {
 	const keys, count = 2000, 2
 	names := namesOf(20)
--- a/internal/router/coldservers.go
+++ b/internal/router/coldservers.go
@@ -7,11 +7,11 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// coldFound tells the other nodes of a server that this node found to be warming up. They
-// cannot learn it from the store, whose news do not come at the time.
-func (p *peers) coldFound(server discovery.ServerID, left time.Duration) {
-	p.toHeads(coldEnvelope(server, left, true))
-	p.toFollowers(coldEnvelope(server, left, false))
+// announceColdServer notifies the other nodes of a server that this node found to be warming up.
+// During a store outage they cannot learn it from the store.
+func (p *peers) announceColdServer(server discovery.ServerID, left time.Duration) {
+	p.sendToHeads(coldEnvelope(server, left, true))
+	p.sendToFollowers(coldEnvelope(server, left, false))
 }
 
 func coldEnvelope(server discovery.ServerID, left time.Duration, forward bool) *wire.Envelope {
@@ -20,11 +20,11 @@
 	}}}
 }
 
-// takeColdServer takes in that another node found a server to be warming up.
-func (p *peers) takeColdServer(cold *wire.ColdServer) {
+// applyColdServer records that another node found a server to be warming up.
+func (p *peers) applyColdServer(cold *wire.ColdServer) {
 	server, left := discovery.ServerID(cold.GetServer()), time.Duration(cold.GetLeftMillis())*time.Millisecond
 	p.dispatcher.MarkCold(server, left)
 	if cold.GetForward() {
-		p.toFollowers(coldEnvelope(server, left, false))
+		p.sendToFollowers(coldEnvelope(server, left, false))
 	}
 }
--- a/internal/router/copies.go
+++ b/internal/router/copies.go
@@ -22,115 +22,118 @@
 )
 
 const (
-	// copyLinkPart is the part of its link that a node uses for copies in each
-	// copyInterval; those who ask for more are sent to the nodes that got one. The
+	// copyLinkFraction is the fraction of its link's bandwidth that a node uses for copies in
+	// each copyInterval; nodes that ask beyond that are referred to nodes that got a copy. The
 	// other half is left for clients, servers and changes.
-	copyLinkPart = 0.5
-	copyInterval = 250 * time.Millisecond
-	// packedMemory is how long a packed copy is given although there is a newer one:
-	// packing takes time, and the changes since then follow through the feed.
-	packedMemory = 250 * time.Millisecond
+	copyLinkFraction = 0.5
+	copyInterval     = 250 * time.Millisecond
+	// packedCopyTTL is how long a packed copy is sent although the store's copy is newer:
+	// packing takes time, and later changes arrive through the feed.
+	packedCopyTTL = 250 * time.Millisecond
 	// maxReceivers is how many receivers of copies a node remembers.
 	maxReceivers = 32
-	// maxCopyAge is how long ago the store must have had nothing newer than a copy: less
-	// than what makes a node look for a newer confirmation (package feed).
+	// maxCopyAge is the greatest confirmed age of a usable copy. It is less than the age at
+	// which a node looks for a newer confirmation (package feed).
 	maxCopyAge = time.Second
-	// maxUnpackedBytes bounds what an unpacked copy may take.
+	// maxUnpackedBytes bounds the size of an unpacked copy.
 	maxUnpackedBytes = 64 << 20
-	// startPatience is how long a node that starts looks for a copy before it lists
-	// the store, at least; up to startSpread is added so that not all do at once. They
-	// bound what a start loses if no head answers; 0.7 and 0.9 s cost more than the
-	// lists that they saved, on twins of large days.
-	startPatience = 300 * time.Millisecond
-	startSpread   = 300 * time.Millisecond
-	// fewKeys is how many keys take so few pages that each node that starts may list
-	// them: that is sooner than a copy of a node that has to start too. With 70 keys
-	// copies cost worth on twins, with 1,000 they spare 20 calls a node.
-	fewKeys = 200
-	// listPart is the part of a second's reads that a start of all nodes may take: then
-	// each node that finds no copy at once lists the store. If all have lost power, a copy
-	// comes only after the heads are back, which cost 0.5 to 1 s on the users' shifted
-	// deployment, and a list takes 30 ms.
-	listPart = 1.0 / 8
-	// keysPerPage is how many keys a page of a list has on the users' platform.
+	// startTimeout is how long a starting node looks for a copy, at least, before it lists the
+	// store; a random duration up to startTimeoutJitter is added so that nodes do not list at
+	// the same time. They bound the delay of a start when no head answers: on scaled-down
+	// models of large deployments, 0.7 and 0.9 s cost more than the lists that they saved.
+	startTimeout       = 300 * time.Millisecond
+	startTimeoutJitter = 300 * time.Millisecond
+	// smallStoreKeys is the number of keys up to which each starting node lists the store:
+	// the few pages come sooner than a copy from a node that has to start as well. On
+	// scaled-down models of large deployments, copies lowered the score with 70 keys and saved
+	// 20 calls a node with 1,000.
+	smallStoreKeys = 200
+	// listReadFraction is the fraction of the store's reads per second that lists by all nodes
+	// may take. Within it, each node that finds no copy at once lists the store: after a power
+	// loss of all nodes a copy is available only when the heads are back, which took 0.5 to
+	// 1 s on the users' shifted deployment; a list takes 30 ms.
+	listReadFraction = 1.0 / 8
+	// keysPerPage is the number of keys in a page of a list on the users' platform.
 	keysPerPage = 50
-	// restoredPatience is how long a node that is no head looks for a copy of a store that was
-	// restored before it lists the store.
-	restoredPatience = 1500 * time.Millisecond
-	// quickAsk is for how long a copy is looked for then.
-	quickAsk = 80 * time.Millisecond
-	// askPause is the pause between two rounds of questions.
-	askPause = 30 * time.Millisecond
-	// copyTries is how many nodes are asked for a copy while the node runs.
-	copyTries = 3
-	// firstAskPause is the pause between two rounds of questions at the first start of the
-	// whole system, when all nodes ask the few seeds.
-	firstAskPause = 250 * time.Millisecond
-	// firstPatience is how long a node waits for a copy at the first start while one of the
-	// seeds answers that it has none yet: a list of ten thousand keys takes some seconds of
-	// a busy store, and the copies then pass from node to node.
-	firstPatience = 8 * time.Second
-	// firstSilence is how long it waits while none answers: processes that start together
-	// listen within a second of each other.
-	firstSilence = 1500 * time.Millisecond
+	// restoredTimeout is how long a node that is no head looks for a copy of a restored store
+	// before it lists the store.
+	restoredTimeout = 1500 * time.Millisecond
+	// quickCopyTimeout bounds the search for a copy if all nodes may list the store.
+	quickCopyTimeout = 80 * time.Millisecond
+	// copyRetryInterval is the pause between two rounds of requests for a copy.
+	copyRetryInterval = 30 * time.Millisecond
+	// maxCopyPeers is how many nodes are asked for a copy in one round while the node runs.
+	maxCopyPeers = 3
+	// firstStartRetryInterval is the mean pause between two rounds of requests at the first
+	// start of the whole system, when all nodes ask the few seeds.
+	firstStartRetryInterval = 250 * time.Millisecond
+	// firstStartTimeout is how long a node waits for a copy at the first start while a seed
+	// answers that it has none yet: a busy store takes some seconds to list ten thousand keys,
+	// and the copies then spread from node to node.
+	firstStartTimeout = 8 * time.Second
+	// firstStartNoReplyTimeout is how long it waits if no seed answers: processes that start
+	// together listen within a second of each other.
+	firstStartNoReplyTimeout = 1500 * time.Millisecond
 )
 
-// copyGiver gives this node's copy of the store to others.
-type copyGiver struct {
+// copyProvider sends this node's copy of the store to other nodes.
+type copyProvider struct {
 	mirror *mirror.Mirror
 	feed   *changeFeed
-	// linkBytes is how many bytes this node's link carries in a second.
+	// linkBytes is the bandwidth of this node's link in bytes per second.
 	linkBytes float64
 
 	mutex         sync.Mutex
 	packed        packedCopy
 	intervalStart time.Time
-	// given is how many bytes of copies were given since intervalStart.
-	given     int
+	// bytesSent counts the bytes of copies sent since intervalStart.
+	bytesSent int
 	receivers []*wire.NodeAddress
 }
 
-// packedCopy is a copy of the store as it is sent.
+// packedCopy is a compressed copy of the store as it is sent.
 type packedCopy struct {
 	content  []byte
 	revision int64
 	madeAt   time.Time
-	// age is how long before madeAt the store surely had nothing newer, if confirmed.
+	// age is how long before madeAt the copy was confirmed to be the store's newest revision;
+	// it is valid only if confirmed.
 	age       time.Duration
 	confirmed bool
 }
 
-// reply answers a node that asks for a copy.
-func (g *copyGiver) reply(from *wire.Hello) (*wire.StateReply, error) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+// reply returns the response to a node that asks for a copy: the copy, or the addresses of nodes
+// that got one if the bandwidth for copies is used up.
+func (p *copyProvider) reply(from *wire.Hello) (*wire.StateReply, error) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	now := time.Now()
-	if now.Sub(g.intervalStart) > copyInterval {
-		g.intervalStart, g.given = now, 0
+	if now.Sub(p.intervalStart) > copyInterval {
+		p.intervalStart, p.bytesSent = now, 0
 	}
-	if float64(g.given) >= copyLinkPart*g.linkBytes*copyInterval.Seconds() {
-		return &wire.StateReply{Revision: g.mirror.Revision(), Others: slices.Clone(g.receivers)}, nil
+	if float64(p.bytesSent) >= copyLinkFraction*p.linkBytes*copyInterval.Seconds() {
+		return &wire.StateReply{Revision: p.mirror.Revision(), Others: slices.Clone(p.receivers)}, nil
 	}
-	listed, err := g.pack(now)
+	listed, err := p.pack(now)
 	if err != nil || !listed {
 		return &wire.StateReply{}, err
 	}
-	g.given += len(g.packed.content)
-	g.remember(&wire.NodeAddress{Address: from.GetAddress(), Zone: from.GetZone()})
+	p.bytesSent += len(p.packed.content)
+	p.remember(&wire.NodeAddress{Address: from.GetAddress(), Zone: from.GetZone()})
 	return &wire.StateReply{
-		Revision: g.packed.revision, Complete: true, Packed: g.packed.content, Confirmed: g.packed.confirmed,
-		ConfirmedAgeMillis: uint32((g.packed.age + now.Sub(g.packed.madeAt)).Milliseconds()),
+		Revision: p.packed.revision, Complete: true, Packed: p.packed.content, Confirmed: p.packed.confirmed,
+		ConfirmedAgeMillis: uint32((p.packed.age + now.Sub(p.packed.madeAt)).Milliseconds()),
 	}, nil
 }
 
-// pack makes the packed copy anew if it is too old. It reports whether there is one.
+// pack renews the packed copy if it is older than packedCopyTTL. It reports whether there is one.
 // The caller holds the mutex.
-func (g *copyGiver) pack(now time.Time) (bool, error) {
-	if g.packed.content != nil && now.Sub(g.packed.madeAt) < packedMemory {
+func (p *copyProvider) pack(now time.Time) (bool, error) {
+	if p.packed.content != nil && now.Sub(p.packed.madeAt) < packedCopyTTL {
 		return true, nil
 	}
-	age, confirmed := g.feed.confirmedAge()
-	items, revision, listed := g.mirror.Snapshot()
+	age, confirmed := p.feed.confirmedAge()
+	items, revision, listed := p.mirror.Snapshot()
 	if !listed {
 		return false, nil
 	}
@@ -138,20 +141,21 @@
 	if err != nil {
 		return false, err
 	}
-	g.packed = packedCopy{content: content, revision: revision, madeAt: now, age: age, confirmed: confirmed}
+	p.packed = packedCopy{content: content, revision: revision, madeAt: now, age: age, confirmed: confirmed}
 	return true, nil
 }
 
-func (g *copyGiver) remember(receiver *wire.NodeAddress) {
-	g.receivers = slices.DeleteFunc(g.receivers, func(known *wire.NodeAddress) bool {
+func (p *copyProvider) remember(receiver *wire.NodeAddress) {
+	p.receivers = slices.DeleteFunc(p.receivers, func(known *wire.NodeAddress) bool {
 		return known.GetAddress() == receiver.GetAddress()
 	})
-	g.receivers = append(g.receivers, receiver)
-	if len(g.receivers) > maxReceivers {
-		g.receivers = g.receivers[1:]
+	p.receivers = append(p.receivers, receiver)
+	if len(p.receivers) > maxReceivers {
+		p.receivers = p.receivers[1:]
 	}
 }
 
+// packItems encodes and compresses items.
 func packItems(items []topo.Item) ([]byte, error) {
 	content := &wire.StateItems{Items: make([]*wire.StoreItem, 0, len(items))}
 	for _, item := range items {
@@ -177,6 +181,7 @@
 	return packed.Bytes(), nil
 }
 
+// unpackItems reverses packItems.
 func unpackItems(packed []byte) ([]topo.Item, error) {
 	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
@@ -188,137 +193,138 @@
 	}
 	items := make([]topo.Item, 0, len(content.GetItems()))
 	for _, item := range content.GetItems() {
-		items = append(items, itemOf(item))
+		items = append(items, decodeItem(item))
 	}
 	return items, nil
 }
 
-// copyTaker takes copies of the store from other nodes. It implements mirror.Copies.
-type copyTaker struct {
+// copyFetcher fetches copies of the store from other nodes. It implements mirror.Copies.
+type copyFetcher struct {
 	*peers
 	record *headsRecord
-	// firstStart is true if no record of the heads can be there yet.
+	// firstStart is true at the first start of the whole system, when there is no record of the
+	// heads yet.
 	firstStart bool
-	// readsPerSecond is how many reads the store takes from all nodes; 0 if not known.
+	// readsPerSecond is how many reads a second the store accepts from all nodes; 0 if unknown.
 	readsPerSecond float64
 }
 
-// Copy implements mirror.Copies. A node that knows others asks a few of them. One that
-// starts reads from the store who the heads were last, and looks for a copy there for a
-// while: if the whole system starts, only the heads list the store.
-func (t copyTaker) Copy(ctx context.Context, atLeast int64) (mirror.Copy, bool) {
-	if known := t.knownHeads(); len(known) > 0 {
-		if t.sparesStore(atLeast) {
-			return t.restoredCopy(ctx, known, atLeast)
+// Copy implements mirror.Copies. A node that knows the heads asks a few of them. A starting node
+// reads the last record of the heads from the store and asks them until a timeout: if the whole
+// system starts, only the heads list the store.
+func (f copyFetcher) Copy(ctx context.Context, atLeast int64) (mirror.Copy, bool) {
+	if known := f.knownHeads(); len(known) > 0 {
+		if f.leavesListingToOthers(atLeast) {
+			return f.copyAfterRestore(ctx, known, atLeast)
 		}
-		return t.ask(ctx, known, atLeast, copyTries)
+		return f.fetch(ctx, known, atLeast, maxCopyPeers)
 	}
-	if t.firstStart {
-		return t.firstCopy(ctx, atLeast)
+	if f.firstStart {
+		return f.copyAtFirstStart(ctx, atLeast)
 	}
-	record, err := t.record.read(ctx)
+	record, err := f.record.read(ctx)
 	if err != nil {
-		// A store that does not answer cannot be listed either.
-		return t.ask(ctx, t.unregistered(), atLeast, maxReceivers)
+		// If the store does not answer, listing it would fail as well.
+		return f.fetch(ctx, f.unregisteredNodes(), atLeast, maxReceivers)
 	}
 	heads := record.GetHeads()
-	if record.GetKeys() <= fewKeys || slices.ContainsFunc(heads, t.isSelf) {
+	if record.GetKeys() <= smallStoreKeys || slices.ContainsFunc(heads, f.isSelf) {
 		return mirror.Copy{}, false
 	}
-	if t.listsAreCheap(record) {
-		bounded, cancel := context.WithTimeout(ctx, quickAsk)
+	if f.listsFitReadBudget(record) {
+		bounded, cancel := context.WithTimeout(ctx, quickCopyTimeout)
 		defer cancel()
-		return t.ask(bounded, heads, atLeast, copyTries)
+		return f.fetch(bounded, heads, atLeast, maxCopyPeers)
 	}
-	patience := startPatience + time.Duration(rand.Int64N(int64(startSpread)))
-	for giveUpAt := time.Now().Add(patience); time.Now().Before(giveUpAt) && ctx.Err() == nil; {
-		if copied, found := t.ask(ctx, heads, atLeast, maxReceivers); found {
+	timeout := startTimeout + time.Duration(rand.Int64N(int64(startTimeoutJitter)))
+	for giveUpAt := time.Now().Add(timeout); time.Now().Before(giveUpAt) && ctx.Err() == nil; {
+		if copied, found := f.fetch(ctx, heads, atLeast, maxReceivers); found {
 			return copied, true
 		}
-		periodic.Pause(ctx, askPause)
+		periodic.Pause(ctx, copyRetryInterval)
 	}
 	return mirror.Copy{}, false
 }
 
-// sparesStore reports whether this node leaves it to others to list a store that was restored:
-// all nodes need a copy of the new era at the same moment.
-func (t copyTaker) sparesStore(atLeast int64) bool {
-	if topo.EraOf(atLeast) <= topo.EraOf(t.mirror.Revision()) || t.feed.root() {
+// leavesListingToOthers reports whether this node waits for others to list a restored store,
+// since all nodes need a copy of the new era at the same time.
+func (f copyFetcher) leavesListingToOthers(atLeast int64) bool {
+	if topo.EraOf(atLeast) <= topo.EraOf(f.mirror.Revision()) || f.feed.root() {
 		return false
 	}
-	return !t.listsAreCheap(&wire.HeadsRecord{Keys: uint32(t.mirror.Size()), Nodes: uint32(t.nodes())})
+	return !f.listsFitReadBudget(&wire.HeadsRecord{Keys: uint32(f.mirror.Size()), Nodes: uint32(f.nodes())})
 }
 
-// restoredCopy looks for a copy of a new era. The root lists the store, and the heads do so
-// before the other nodes if no copy is found.
-func (t copyTaker) restoredCopy(ctx context.Context, heads []*wire.NodeAddress, atLeast int64) (mirror.Copy, bool) {
-	patience := restoredPatience
-	if slices.ContainsFunc(t.feed.headMembers(), func(head feed.Member) bool { return head.Address == t.self.Address }) {
-		patience = startPatience
-	}
-	patience += time.Duration(rand.Int64N(int64(startSpread)))
-	for giveUpAt := time.Now().Add(patience); time.Now().Before(giveUpAt) && ctx.Err() == nil; {
-		if t.mirror.Revision() >= atLeast {
+// copyAfterRestore looks for a copy of a new era. The root lists the store; if no copy is found,
+// the heads list it before the other nodes do.
+func (f copyFetcher) copyAfterRestore(ctx context.Context, heads []*wire.NodeAddress, atLeast int64) (mirror.Copy, bool) {
+	timeout := restoredTimeout
+	if slices.ContainsFunc(f.feed.headMembers(), func(head feed.Member) bool { return head.Address == f.self.Address }) {
+		timeout = startTimeout
+	}
+	timeout += time.Duration(rand.Int64N(int64(startTimeoutJitter)))
+	for giveUpAt := time.Now().Add(timeout); time.Now().Before(giveUpAt) && ctx.Err() == nil; {
+		if f.mirror.Revision() >= atLeast {
 			return mirror.Copy{}, false
 		}
-		if copied, found := t.ask(ctx, heads, atLeast, copyTries); found {
+		if copied, found := f.fetch(ctx, heads, atLeast, maxCopyPeers); found {
 			return copied, true
 		}
-		periodic.Pause(ctx, askPause)
+		periodic.Pause(ctx, copyRetryInterval)
 	}
 	return mirror.Copy{}, false
 }
 
-// firstCopy looks for a copy at the first start of the whole system, when nobody has written
-// who the heads are. The seeds list the store, and the others take copies of theirs, and of
-// those that got one: if each of a thousand nodes listed ten thousand keys, the store's link
-// would be full for half a minute.
-func (t copyTaker) firstCopy(ctx context.Context, atLeast int64) (mirror.Copy, bool) {
-	seeds := t.unregistered()
-	if len(seeds) == 0 || slices.Contains(*t.seeds.Load(), t.self.Address) {
+// copyAtFirstStart looks for a copy at the first start of the whole system, when there is no
+// record of the heads. The seeds list the store, and the other nodes fetch copies from them and
+// from nodes that already have one: if each of a thousand nodes listed ten thousand keys, the
+// store's link would be saturated for half a minute.
+func (f copyFetcher) copyAtFirstStart(ctx context.Context, atLeast int64) (mirror.Copy, bool) {
+	seeds := f.unregisteredNodes()
+	if len(seeds) == 0 || slices.Contains(*f.seeds.Load(), f.self.Address) {
 		return mirror.Copy{}, false
 	}
 	startedAt := time.Now()
-	heard := startedAt
-	for ctx.Err() == nil && time.Since(heard) < firstSilence && time.Since(startedAt) < firstPatience {
-		copied, found, answered := t.askSome(ctx, seeds, atLeast, maxReceivers)
+	lastReplyAt := startedAt
+	for ctx.Err() == nil && time.Since(lastReplyAt) < firstStartNoReplyTimeout && time.Since(startedAt) < firstStartTimeout {
+		copied, found, answered := f.fetchFromPeers(ctx, seeds, atLeast, maxReceivers)
 		if found {
 			return copied, true
 		}
 		if answered {
-			heard = time.Now()
+			lastReplyAt = time.Now()
 		}
-		periodic.Pause(ctx, time.Duration((0.5+rand.Float64())*float64(firstAskPause)))
+		periodic.Pause(ctx, time.Duration((0.5+rand.Float64())*float64(firstStartRetryInterval)))
 	}
 	return mirror.Copy{}, false
 }
 
-// listsAreCheap reports whether the store bears it that all nodes list it together.
-func (t copyTaker) listsAreCheap(record *wire.HeadsRecord) bool {
+// listsFitReadBudget reports whether all nodes may list the store at the same time.
+func (f copyFetcher) listsFitReadBudget(record *wire.HeadsRecord) bool {
 	pages := (record.GetKeys() + keysPerPage - 1) / keysPerPage
-	return record.GetNodes() > 0 && float64(pages*record.GetNodes()) <= listPart*t.readsPerSecond
+	return record.GetNodes() > 0 && float64(pages*record.GetNodes()) <= listReadFraction*f.readsPerSecond
 }
 
-func (t copyTaker) isSelf(node *wire.NodeAddress) bool { return node.GetAddress() == t.self.Address }
+func (f copyFetcher) isSelf(node *wire.NodeAddress) bool { return node.GetAddress() == f.self.Address }
 
-// ask asks some nodes, and those that they name, for a copy.
-func (t copyTaker) ask(ctx context.Context, candidates []*wire.NodeAddress, atLeast int64, tries int) (mirror.Copy, bool) {
-	copied, found, _ := t.askSome(ctx, candidates, atLeast, tries)
+// fetch asks up to tries of the candidates, and of the nodes that they refer to, for a copy.
+func (f copyFetcher) fetch(ctx context.Context, candidates []*wire.NodeAddress, atLeast int64, tries int) (mirror.Copy, bool) {
+	copied, found, _ := f.fetchFromPeers(ctx, candidates, atLeast, tries)
 	return copied, found
 }
 
-// askSome is ask, and reports besides whether any node answered.
-func (t copyTaker) askSome(ctx context.Context, candidates []*wire.NodeAddress, atLeast int64, tries int) (copied mirror.Copy, found, answered bool) {
-	asked := map[string]bool{t.self.Address: true}
+// fetchFromPeers does the work of fetch and also reports whether any node answered.
+func (f copyFetcher) fetchFromPeers(ctx context.Context, candidates []*wire.NodeAddress, atLeast int64, tries int) (copied mirror.Copy, found, answered bool) {
+	asked := map[string]bool{f.self.Address: true}
 	for range tries {
-		next := t.pick(candidates, asked)
+		next := f.pick(candidates, asked)
 		if next == nil || ctx.Err() != nil {
 			break
 		}
 		asked[next.GetAddress()] = true
-		answer := t.askState(ctx, next.GetAddress(), true)
+		answer := f.requestState(ctx, next.GetAddress(), true)
 		answered = answered || answer != nil
-		if copied, usable := t.usable(next, answer, atLeast); usable {
+		if copied, usable := f.usable(next, answer, atLeast); usable {
 			return copied, true, true
 		}
 		candidates = append(candidates, answer.GetOthers()...)
@@ -326,15 +332,14 @@
 	return mirror.Copy{}, false, answered
 }
 
-// pick returns one of the candidates that were not asked yet, one of this node's zone
-// if there is any, or nil.
-func (t copyTaker) pick(candidates []*wire.NodeAddress, asked map[string]bool) *wire.NodeAddress {
+// pick returns a random candidate that was not asked yet, preferably of this node's zone, or nil.
+func (f copyFetcher) pick(candidates []*wire.NodeAddress, asked map[string]bool) *wire.NodeAddress {
 	var picked *wire.NodeAddress
 	for _, index := range rand.Perm(len(candidates)) {
 		candidate := candidates[index]
 		switch {
 		case asked[candidate.GetAddress()]:
-		case candidate.GetZone() == t.self.Zone:
+		case candidate.GetZone() == f.self.Zone:
 			return candidate
 		case picked == nil:
 			picked = candidate
@@ -343,8 +348,8 @@
 	return picked
 }
 
-// usable returns the copy of an answer if it is new enough.
-func (t copyTaker) usable(giver *wire.NodeAddress, answer *wire.StateReply, atLeast int64) (mirror.Copy, bool) {
+// usable returns the copy in a response if it is complete, confirmed and new enough.
+func (f copyFetcher) usable(provider *wire.NodeAddress, answer *wire.StateReply, atLeast int64) (mirror.Copy, bool) {
 	age := time.Duration(answer.GetConfirmedAgeMillis()) * time.Millisecond
 	if !answer.GetComplete() || answer.GetRevision() < atLeast || !answer.GetConfirmed() || age > maxCopyAge {
 		return mirror.Copy{}, false
@@ -352,29 +357,29 @@
 	receivedAt := time.Now()
 	items, err := unpackItems(answer.GetPacked())
 	if err != nil {
-		t.logger.Warn("copy of another node refused", zap.String("address", giver.GetAddress()), zap.Error(err))
+		f.logger.Warn("decoding the copy of another node failed", zap.String("address", provider.GetAddress()), zap.Error(err))
 		return mirror.Copy{}, false
 	}
-	t.feed.given(feed.Member{Name: giver.GetAddress(), Zone: giver.GetZone(), Address: giver.GetAddress()})
+	f.feed.setBootstrapPeer(feed.Member{Name: provider.GetAddress(), Zone: provider.GetZone(), Address: provider.GetAddress()})
 	return mirror.Copy{Items: items, Revision: answer.GetRevision(), ConfirmedAt: receivedAt.Add(-age)}, true
 }
 
 // knownHeads returns the heads among the registered nodes.
-func (t copyTaker) knownHeads() []*wire.NodeAddress {
+func (f copyFetcher) knownHeads() []*wire.NodeAddress {
 	var heads []*wire.NodeAddress
-	for _, head := range t.feed.headMembers() {
-		if head.Address != t.self.Address {
+	for _, head := range f.feed.headMembers() {
+		if head.Address != f.self.Address {
 			heads = append(heads, &wire.NodeAddress{Address: head.Address, Zone: head.Zone})
 		}
 	}
 	return heads
 }
 
-// unregistered returns where other nodes may be found while none is known; their zones
-// are not known either.
-func (t copyTaker) unregistered() []*wire.NodeAddress {
+// unregisteredNodes returns the addresses at which other nodes may be found while none is known.
+// Their zones are unknown.
+func (f copyFetcher) unregisteredNodes() []*wire.NodeAddress {
 	var found []*wire.NodeAddress
-	for _, address := range t.unregisteredAddresses() {
+	for _, address := range f.unregisteredAddresses() {
 		found = append(found, &wire.NodeAddress{Address: address})
 	}
 	return found
--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -19,7 +19,7 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// copyNode is the part of a node that gives and takes copies.
+// copyNode is the part of a node that sends and fetches copies of the store.
 type copyNode struct {
 	*peers
 	mirror *mirror.Mirror
@@ -37,12 +37,12 @@
 	views := view.NewBuilder(view.Layout{TableKey: "table", ServerPrefix: "servers/"}, jsonDocuments{}, zap.NewNop())
 	copied := mirror.New(store, views, zap.NewNop())
 	changes := newChangeFeed(self, client, zap.NewNop())
-	views.Subscribe(changes.follow)
+	views.Subscribe(changes.updateMembers)
 	copied.SetObserver(changes)
 	p := &peers{self: self, client: client, feed: changes, views: views, mirror: copied, logger: zap.NewNop()}
-	p.copies = &copyGiver{mirror: copied, feed: changes, linkBytes: 1e6}
+	p.copies = &copyProvider{mirror: copied, feed: changes, linkBytes: 1e6}
 	p.setSeeds(nil)
-	copied.SetCopySource(copyTaker{peers: p, record: &headsRecord{store: store, feed: changes, mirror: copied, logger: zap.NewNop()}})
+	copied.SetCopySource(copyFetcher{peers: p, record: &headsRecord{store: store, feed: changes, mirror: copied, logger: zap.NewNop()}})
 	server := transport.NewServer(hello, listener, nil, p, zap.NewNop())
 	go func() { _ = server.Serve() }()
 	t.Cleanup(func() {
@@ -52,7 +52,7 @@
 	return &copyNode{peers: p, mirror: copied}
 }
 
-// run lets a node follow the store until the test ends, and returns when it has a copy.
+// run makes the node follow the store until the test ends, and returns when it has a copy.
 func (n *copyNode) run(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -65,8 +65,8 @@
 		cancel()
 		<-ended
 	})
-	const patience = 5 * time.Second
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	const timeout = 5 * time.Second
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if _, _, listed := n.mirror.Snapshot(); listed {
 			return
 		}
@@ -74,7 +74,7 @@
 	t.Fatal("the node has no copy")
 }
 
-// storeWith returns a store with many keys, as a large deployment has.
+// storeWith returns a store with the given number of keys.
 func storeWith(keys int) *memory.Store {
 	store := memory.New()
 	for index := range keys {
@@ -83,7 +83,7 @@
 	return store
 }
 
-func record(t *testing.T, store *memory.Store, keys uint32, heads ...string) {
+func writeHeadsRecord(t *testing.T, store *memory.Store, keys uint32, heads ...string) {
 	t.Helper()
 	content := &wire.HeadsRecord{Keys: keys}
 	for _, address := range heads {
@@ -96,13 +96,13 @@
 	store.Write(view.HeadsKey, value)
 }
 
-// Seen on the large deployments: each of 295 nodes listed a thousand keys in pages of
-// 50 when it started, and 5,000 of 7,500 calls to the store were such pages.
+// On large deployments each of 295 nodes listed a thousand keys in pages of 50 when it
+// started, which made 5,000 of 7,500 calls to the store.
 func TestNodeThatStartsTakesItsCopyFromAHead(t *testing.T) {
 	const keys = 500
 	store := storeWith(keys)
 	head, started := newCopyNode(t, store, "head"), newCopyNode(t, store, "started")
-	record(t, store, keys, head.self.Address)
+	writeHeadsRecord(t, store, keys, head.self.Address)
 	head.run(t)
 	before := store.Calls("list")
 	started.run(t)
@@ -118,21 +118,21 @@
 func TestNodeListsTheStoreIfNoHeadAnswers(t *testing.T) {
 	const keys = 500
 	store := storeWith(keys)
-	record(t, store, keys, "127.0.0.1:1")
+	writeHeadsRecord(t, store, keys, "127.0.0.1:1")
 	started := newCopyNode(t, store, "started")
 	startedAt := time.Now()
 	started.run(t)
-	const bound = startPatience + startSpread + stateTimeout
+	const bound = startTimeout + startTimeoutJitter + stateTimeout
 	if took := time.Since(startedAt); took > bound {
 		t.Errorf("the copy came after %v, want within %v", took, bound)
 	}
 }
 
-// With few keys a list is sooner than a copy from a node that has to start as well.
+// With few keys, a list is faster than a copy from a node that has to start as well.
 func TestNodeListsAFewKeysItself(t *testing.T) {
-	store := storeWith(fewKeys / 2)
+	store := storeWith(smallStoreKeys / 2)
 	head, started := newCopyNode(t, store, "head"), newCopyNode(t, store, "started")
-	record(t, store, fewKeys, head.self.Address)
+	writeHeadsRecord(t, store, smallStoreKeys, head.self.Address)
 	head.run(t)
 	before := store.Calls("list")
 	started.run(t)
@@ -141,8 +141,8 @@
 	}
 }
 
-// Seen on the users' shifted deployment: after a loss of power nodes waited 0.5 to 1 s for
-// a copy from heads that had to start as well, with 284 keys to list.
+// On the users' shifted deployment, with 284 keys, nodes waited 0.5 to 1 s after a power loss
+// for a copy from heads that had to start as well, although listing would have been faster.
 func TestNodeListsTheStoreAtOnceIfTheStoreBearsIt(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -156,19 +156,19 @@
 		{"nodes not known", 0, 6000, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			taker := copyTaker{readsPerSecond: test.reads}
-			if got := taker.listsAreCheap(&wire.HeadsRecord{Keys: 284, Nodes: test.nodes}); got != test.cheap {
-				t.Errorf("cheap: %v, want %v", got, test.cheap)
+			fetcher := copyFetcher{readsPerSecond: test.reads}
+			if got := fetcher.listsFitReadBudget(&wire.HeadsRecord{Keys: 284, Nodes: test.nodes}); got != test.cheap {
+				t.Errorf("lists fit the read budget: %v, want %v", got, test.cheap)
 			}
 		})
 	}
 	const keys = 500
 	store := storeWith(keys)
 	started := newCopyNode(t, store, "started")
-	started.mirror.SetCopySource(copyTaker{
+	started.mirror.SetCopySource(copyFetcher{
 		peers: started.peers, record: &headsRecord{store: store, feed: started.feed, mirror: started.mirror, logger: zap.NewNop()}, readsPerSecond: 10000,
 	})
-	// A head that takes connections and never answers.
+	// This head accepts connections and never answers.
 	head, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -181,27 +181,27 @@
 	store.Write(view.HeadsKey, value)
 	startedAt := time.Now()
 	started.run(t)
-	if took := time.Since(startedAt); took > startPatience {
+	if took := time.Since(startedAt); took > startTimeout {
 		t.Errorf("the copy came after %v, want at once", took)
 	}
 }
 
-// A node gives no more copies than its link bears; who comes later is told who has one.
-func TestGiverNamesOthersOnceItGaveEnough(t *testing.T) {
+// A node that has used up its bandwidth for copies refers further nodes to those that got one.
+func TestProviderNamesOthersOnceItsBandwidthIsUsed(t *testing.T) {
 	head := newCopyNode(t, storeWith(1), "head")
 	head.run(t)
-	asking := func(number int) *wire.Hello { return &wire.Hello{Address: fmt.Sprint("address ", number), Zone: "z"} }
+	helloFrom := func(number int) *wire.Hello { return &wire.Hello{Address: fmt.Sprint("address ", number), Zone: "z"} }
 	head.copies.intervalStart = time.Now().Add(time.Hour)
 	const copies = 5
 	for number := range copies {
-		answer, err := head.copies.reply(asking(number))
+		answer, err := head.copies.reply(helloFrom(number))
 		if err != nil || !answer.GetComplete() {
 			t.Fatalf("copy %d: complete %v, %v", number, answer.GetComplete(), err)
 		}
-		// As many bytes as the link bears are given with the last copy.
-		head.copies.linkBytes = float64(len(answer.GetPacked())*copies) / copyLinkPart / copyInterval.Seconds()
+		// The last copy uses up the bandwidth for copies.
+		head.copies.linkBytes = float64(len(answer.GetPacked())*copies) / copyLinkFraction / copyInterval.Seconds()
 	}
-	answer, err := head.copies.reply(asking(copies))
+	answer, err := head.copies.reply(helloFrom(copies))
 	if err != nil || answer.GetComplete() || len(answer.GetOthers()) != copies {
 		t.Errorf("complete %v, %d others, %v; want %d others", answer.GetComplete(), len(answer.GetOthers()), err, copies)
 	}
@@ -217,12 +217,12 @@
 		t.Fatalf("unpacked %v, %v", items, err)
 	}
 	if _, err := unpackItems(packed[:len(packed)/2]); err == nil {
-		t.Error("a copy that was cut short was taken")
+		t.Error("a truncated copy was accepted")
 	}
 }
 
-// At the first start of a large system all nodes start together: its seeds list the store,
-// and the others take their copies from them and from each other.
+// At the first start of a large system all nodes start together. Only the seeds may list the
+// store; the other nodes fetch copies from them and from each other.
 func TestFirstStartListsTheStoreAtTheSeeds(t *testing.T) {
 	const keys, others = 500, 12
 	store := storeWith(keys)
@@ -233,7 +233,7 @@
 	}
 	for _, node := range nodes {
 		node.setSeeds([]string{seed.self.Address})
-		node.mirror.SetCopySource(copyTaker{peers: node.peers, record: &headsRecord{store: store, feed: node.feed, mirror: node.mirror, logger: zap.NewNop()}, firstStart: true})
+		node.mirror.SetCopySource(copyFetcher{peers: node.peers, record: &headsRecord{store: store, feed: node.feed, mirror: node.mirror, logger: zap.NewNop()}, firstStart: true})
 	}
 	var group sync.WaitGroup
 	for _, node := range nodes[1:] {
@@ -250,6 +250,6 @@
 	store := storeWith(500)
 	node := newCopyNode(t, store, "n")
 	node.setSeeds([]string{"127.0.0.1:1"})
-	node.mirror.SetCopySource(copyTaker{peers: node.peers, record: &headsRecord{store: store, feed: node.feed, mirror: node.mirror, logger: zap.NewNop()}, firstStart: true})
+	node.mirror.SetCopySource(copyFetcher{peers: node.peers, record: &headsRecord{store: store, feed: node.feed, mirror: node.mirror, logger: zap.NewNop()}, firstStart: true})
 	node.run(t)
 }
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -8,10 +8,10 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// tellCrashes tells the other nodes of requests that servers crashed of.
-func (p *peers) tellCrashes(suspects []poison.Suspect) {
-	p.toHeads(crashEnvelope(suspects, true))
-	p.toFollowers(crashEnvelope(suspects, false))
+// announceCrashes notifies the other nodes of requests that crashed servers.
+func (p *peers) announceCrashes(suspects []poison.Suspect) {
+	p.sendToHeads(crashEnvelope(suspects, true))
+	p.sendToFollowers(crashEnvelope(suspects, false))
 }
 
 func crashEnvelope(suspects []poison.Suspect, forward bool) *wire.Envelope {
@@ -24,26 +24,27 @@
 	return &wire.Envelope{Body: &wire.Envelope_CrashReport{CrashReport: report}}
 }
 
-// takeCrashes takes in what another node told. A digest of another length is of no use.
-func (p *peers) takeCrashes(report *wire.CrashReport) {
+// applyCrashReport applies another node's report of crashes. Digests of a wrong length are
+// skipped.
+func (p *peers) applyCrashReport(report *wire.CrashReport) {
 	var suspects []poison.Suspect
-	for _, told := range report.GetSuspects() {
-		if len(told.GetDigest()) != len(poison.Digest{}) {
+	for _, reported := range report.GetSuspects() {
+		if len(reported.GetDigest()) != len(poison.Digest{}) {
 			continue
 		}
 		suspects = append(suspects, poison.Suspect{
-			Digest: poison.Digest(told.GetDigest()), Lives: told.GetLives(),
-			Age: time.Duration(told.GetAgeMicros()) * time.Microsecond, Cleared: told.GetCleared(),
+			Digest: poison.Digest(reported.GetDigest()), Lives: reported.GetLives(),
+			Age: time.Duration(reported.GetAgeMicros()) * time.Microsecond, Cleared: reported.GetCleared(),
 		})
 	}
 	p.guard.Receive(suspects)
 	if report.GetForward() {
-		p.toFollowers(crashEnvelope(suspects, false))
+		p.sendToFollowers(crashEnvelope(suspects, false))
 	}
 }
 
-// followNodes tells the guard of the nodes of a view.
-func (p *peers) followNodes(current *view.View) {
+// updateGuardNodes passes the nodes of a view to the guard.
+func (p *peers) updateGuardNodes(current *view.View) {
 	if current.Unchanged.Nodes {
 		return
 	}
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -14,17 +14,16 @@
 )
 
 const (
-	// feedTick is the pause between two steps of the feed's clock.
+	// feedTick is the interval between two ticks of the feed.
 	feedTick = 50 * time.Millisecond
-	// fallbackInterval is the mean pause between two comparisons with the store's
-	// revision of any of the nodes that watch the store because they lost their
-	// watcher.
+	// fallbackInterval is the mean interval between two comparisons with the store's revision
+	// by any of the nodes that watch the store because they lost their upstream.
 	fallbackInterval = time.Second
 )
 
-// changeFeed drives the pure feed with this node's messages and clock. It
-// implements mirror.Observer. Its mutex is taken under the mirror's, so that the
-// mirror must not be called with it held.
+// changeFeed drives the state machine of package feed with this node's messages and clock. It
+// implements mirror.Observer. Its mutex is acquired while the mirror's is held, so the mirror
+// must not be called with it held.
 type changeFeed struct {
 	client *transport.Client
 	logger *zap.Logger
@@ -45,8 +44,8 @@
 
 func (c *changeFeed) now() time.Duration { return time.Since(c.start) }
 
-// follow takes in which nodes are registered.
-func (c *changeFeed) follow(current *view.View) {
+// updateMembers passes the registered nodes of a view to the feed.
+func (c *changeFeed) updateMembers(current *view.View) {
 	if current.Unchanged.Nodes {
 		return
 	}
@@ -82,11 +81,11 @@
 }
 
 // ConfirmedByPeer implements mirror.Observer.
-func (c *changeFeed) ConfirmedByPeer(at time.Time, revision int64) { c.told(at, revision) }
+func (c *changeFeed) ConfirmedByPeer(at time.Time, revision int64) { c.confirmFromPeer(at, revision) }
 
-// told takes in that another node asked the store, which had a revision at a moment. It
-// reports whether this node's copy had reached it.
-func (c *changeFeed) told(at time.Time, revision int64) bool {
+// confirmFromPeer records that another node read the store's revision at a point in time. It
+// reports whether this node's copy has reached that revision.
+func (c *changeFeed) confirmFromPeer(at time.Time, revision int64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.core.ConfirmFromPeer(at.Sub(c.start), revision)
@@ -107,7 +106,7 @@
 	return c.start.Add(until), lapsed
 }
 
-// step takes in another node's message and returns the changes to take, if any.
+// step handles another node's message and returns the changes to apply, if any.
 func (c *changeFeed) step(from string, message feed.Message) *topo.Batch {
 	c.mutex.Lock()
 	messages, batch := c.core.Step(c.now(), from, message)
@@ -116,7 +115,7 @@
 	return batch
 }
 
-// tick sends what is due and notes whether the node has to watch the store.
+// tick sends the messages that are due and updates whether the node has to watch the store.
 func (c *changeFeed) tick() {
 	c.mutex.Lock()
 	now := c.now()
@@ -132,13 +131,13 @@
 		return
 	}
 	feedChangesTotal.Inc()
-	c.logger.Info("source of changes", zap.Bool("store", watching), zap.Bool("compares", compares),
+	c.logger.Info("source of changes switched", zap.Bool("store", watching), zap.Bool("compares", compares),
 		zap.Bool("following", following), zap.String("upstream", upstream.Name))
 }
 
-// schedule implements mirror.Schedule: the root compares its copy and tells the
-// heads; other nodes that have to watch the store do so the more seldom the more
-// nodes there are.
+// schedule implements mirror.Schedule: the root compares its copy and notifies the heads; other
+// nodes that have to watch the store compare at an interval that grows with the number of
+// nodes.
 func (c *changeFeed) schedule(nodes int) (time.Duration, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -152,29 +151,29 @@
 	return fallbackInterval * time.Duration(max(1, nodes)), true
 }
 
-// confirmedAge returns how long ago the store surely had nothing newer than this
-// node's copy; false if that was never known.
+// confirmedAge returns how long ago this node's copy was confirmed to be the newest revision of
+// the store; false if it was never confirmed.
 func (c *changeFeed) confirmedAge() (time.Duration, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.core.ConfirmedAge(c.now())
 }
 
-// given takes in which node gives this one a copy.
-func (c *changeFeed) given(giver feed.Member) {
+// setBootstrapPeer records which node this one got its copy from.
+func (c *changeFeed) setBootstrapPeer(peer feed.Member) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.core.SetBootstrapPeer(c.now(), giver)
+	c.core.SetBootstrapPeer(c.now(), peer)
 }
 
-// root reports whether this node is to watch the store for all others.
+// root reports whether this node watches the store on behalf of all others.
 func (c *changeFeed) root() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.core.Root()
 }
 
-// headMembers returns the nodes that pass changes on to their zones.
+// headMembers returns the nodes that relay changes to their zones.
 func (c *changeFeed) headMembers() []feed.Member {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -198,11 +197,11 @@
 
 func (c *changeFeed) send(messages []feed.Message) {
 	for _, message := range messages {
-		c.client.Send(message.To, envelopeOf(message))
+		c.client.Send(message.To, encodeMessage(message))
 	}
 }
 
-func envelopeOf(message feed.Message) *wire.Envelope {
+func encodeMessage(message feed.Message) *wire.Envelope {
 	switch {
 	case message.Follow != nil:
 		return &wire.Envelope{Body: &wire.Envelope_FollowRequest{FollowRequest: &wire.FollowRequest{
@@ -216,30 +215,29 @@
 	default:
 		encoded := &wire.ChangeBatch{After: message.Batch.After, Revision: message.Batch.Revision}
 		for _, event := range message.Batch.Events {
-			encoded.Changes = append(encoded.Changes, encodedChange(event))
+			encoded.Changes = append(encoded.Changes, encodeChange(event))
 		}
 		return &wire.Envelope{Body: &wire.Envelope_ChangeBatch{ChangeBatch: encoded}}
 	}
 }
 
-func heartbeatOf(received *wire.FeedHeartbeat) *feed.Heartbeat {
+func decodeHeartbeat(received *wire.FeedHeartbeat) *feed.Heartbeat {
 	return &feed.Heartbeat{
 		Revision:     received.GetRevision(),
 		ConfirmedAge: time.Duration(received.GetConfirmedAgeMillis()) * time.Millisecond,
 	}
 }
 
-func batchOf(received *wire.ChangeBatch) *topo.Batch {
+func decodeBatch(received *wire.ChangeBatch) *topo.Batch {
 	batch := &topo.Batch{After: received.GetAfter(), Revision: received.GetRevision()}
 	for _, change := range received.GetChanges() {
-		batch.Events = append(batch.Events, changeOf(change))
+		batch.Events = append(batch.Events, decodeChange(change))
 	}
 	return batch
 }
 
-// encodedChange returns the form in which a change is sent: without its value if
-// there is a delta.
-func encodedChange(event topo.Event) *wire.StoreItem {
+// encodeChange returns the wire form of a change, which omits the value if there is a delta.
+func encodeChange(event topo.Event) *wire.StoreItem {
 	encoded := &wire.StoreItem{
 		Key: event.Key, Value: event.Value, Revision: event.Revision, Lease: int64(event.Lease), Deleted: event.Deleted,
 		Delta: event.Delta, BaseRevision: event.BaseRevision,
@@ -250,14 +248,14 @@
 	return encoded
 }
 
-func changeOf(received *wire.StoreItem) topo.Event {
+func decodeChange(received *wire.StoreItem) topo.Event {
 	return topo.Event{
-		Item: itemOf(received), Deleted: received.GetDeleted(),
+		Item: decodeItem(received), Deleted: received.GetDeleted(),
 		Delta: received.GetDelta(), BaseRevision: received.GetBaseRevision(),
 	}
 }
 
-func itemOf(received *wire.StoreItem) topo.Item {
+func decodeItem(received *wire.StoreItem) topo.Item {
 	return topo.Item{
 		Key: received.GetKey(), Value: received.GetValue(), Revision: received.GetRevision(), Lease: topo.LeaseID(received.GetLease()),
 	}
--- a/internal/router/headsrecord.go
+++ b/internal/router/headsrecord.go
@@ -16,18 +16,17 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// recordInterval is the pause between two looks at whether the heads have changed;
-// they must be the same twice before they are written, because many changes come
-// together when nodes start.
+// recordInterval is the interval between two checks of whether the heads have changed. They are
+// written only if two checks agree, because they change many times while nodes start.
 const recordInterval = time.Second
 
-// headsRecord keeps in the store which nodes are the heads, so that a node that starts
-// finds them with one call.
+// headsRecord keeps a record of the heads in the store, so that a starting node finds them with
+// one call.
 type headsRecord struct {
 	store  topo.Store
 	feed   *changeFeed
 	mirror *mirror.Mirror
-	// nodes returns how many nodes are registered.
+	// nodes returns the number of registered nodes.
 	nodes  func() int
 	logger *zap.Logger
 
@@ -36,7 +35,7 @@
 	era int64
 }
 
-// read returns the record that was written last; an empty one if there is none.
+// read returns the latest record, or an empty one if there is none or it cannot be decoded.
 func (r *headsRecord) read(ctx context.Context) (*wire.HeadsRecord, error) {
 	items, _, err := r.store.List(ctx, view.HeadsKey)
 	if err != nil {
@@ -48,8 +47,8 @@
 		}
 		record := &wire.HeadsRecord{}
 		if err := proto.Unmarshal(item.Value, record); err != nil {
-			// The root writes it again; until then the store is listed.
-			r.logger.Warn("record of the heads refused", zap.Int64("revision", item.Revision), zap.Error(err))
+			// The root writes it again; until then starting nodes list the store.
+			r.logger.Warn("decoding the record of the heads failed", zap.Int64("revision", item.Revision), zap.Error(err))
 			return &wire.HeadsRecord{}, nil
 		}
 		return record, nil
@@ -63,7 +62,7 @@
 	settled := slices.Equal(heads, r.seen)
 	r.seen = heads
 	if !r.feed.root() {
-		// Another root may write others.
+		// Another root may write a different record.
 		r.written = nil
 		return
 	}
@@ -76,12 +75,12 @@
 	}
 	value, err := proto.Marshal(record)
 	if err != nil {
-		r.logger.Error("record of the heads not encoded", zap.Error(err))
+		r.logger.Error("encoding the record of the heads failed", zap.Error(err))
 		return
 	}
 	revision, err := r.store.Commit(ctx, topo.Transaction{Puts: []topo.Put{{Key: view.HeadsKey, Value: value}}})
 	if err != nil {
-		r.logger.Info("record of the heads not written", zap.Error(err))
+		r.logger.Info("writing the record of the heads failed", zap.Error(err))
 		return
 	}
 	r.written, r.era = heads, topo.EraOf(revision)
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -14,43 +14,47 @@
 	"github.com/micahaven/micahaven/internal/periodic"
 )
 
-// Parts of the grace: how a stopping node spends the time that the platform gives it.
-// docs/PLATFORM.md has the table of what happens to requests in each part.
+// Fractions of the grace period: the phases of shutdown within the time that the platform
+// allows. docs/PLATFORM.md has a table of what happens to requests in each phase.
 const (
-	// notReadyPart is the part of the grace in which a stopping node still takes
-	// new connections, until everybody has seen that it is not ready.
-	notReadyPart = 0.45
-	// notReadyMost bounds that. Two questions a second apart take 2 s, and what is sent
-	// later than 3 s after the signal has to be answered however long a server takes.
-	notReadyMost = 2700 * time.Millisecond
-	// answerPart is the part of the grace after which every request that was read has
-	// its final answer. The platform takes it as planned that a request which a server
-	// still works on in the last sixth is given up; see docs/PLATFORM.md.
-	answerPart = 0.9
-	// closePart is the part of the grace after which connections are closed in any
-	// case: between the two the last answers are written, and the rest of the grace is
-	// for the process to end.
-	closePart = 0.95
+	// notReadyFraction is the fraction of the grace period in which a stopping node still
+	// accepts new connections, so that every readiness check has time to see that it is not
+	// ready.
+	notReadyFraction = 0.45
+	// maxNotReady bounds that phase. Two readiness checks a second apart take 2 s, and a
+	// request sent later than 3 s after the signal has to be answered however long a server
+	// takes.
+	maxNotReady = 2700 * time.Millisecond
+	// responseFraction is the fraction of the grace period after which every request that was
+	// read has its final response. The platform accepts as planned that a request which a
+	// server still processes in the last sixth of the grace period is abandoned; see
+	// docs/PLATFORM.md.
+	responseFraction = 0.9
+	// closeFraction is the fraction of the grace period after which all connections are
+	// closed. Between the two the last responses are written; the rest of the grace period is
+	// for the process to exit.
+	closeFraction = 0.95
 
-	// idleClosePause is the pause between two looks for idle connections while
-	// the node stops.
-	idleClosePause = 20 * time.Millisecond
-	// signalQueue is how many signals may wait while one is acted on.
-	signalQueue = 4
-	// lastAnswers is for how long a node that ends without having drained writes the
-	// answers to what it has read.
-	lastAnswers = 250 * time.Millisecond
+	// idleCloseInterval is the interval at which idle connections are looked for and closed
+	// while the node stops.
+	idleCloseInterval = 20 * time.Millisecond
+	// signalQueueSize is how many signals are buffered while one is handled.
+	signalQueueSize = 4
+	// finalResponseTimeout bounds how long a node that ends without draining writes the
+	// responses to the requests that it has read.
+	finalResponseTimeout = 250 * time.Millisecond
 )
 
-// notifySignals returns the signals that the node reacts to, and what ends that. Until
-// then none of them ends the process by itself, also when the node stops already.
+// notifySignals returns a channel of the signals that the node handles, and a function that
+// stops their delivery. Until that is called none of them terminates the process, even while
+// the node is already stopping.
 func notifySignals() (received <-chan os.Signal, stop func()) {
-	signals := make(chan os.Signal, signalQueue)
+	signals := make(chan os.Signal, signalQueueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals, func() { signal.Stop(signals) }
 }
 
-// watchSignals reloads the settings on SIGHUP and stops the node on SIGTERM.
+// watchSignals reloads the settings on SIGHUP and drains the node on SIGTERM or SIGINT.
 func (n *Node) watchSignals(ctx context.Context, signals <-chan os.Signal) error {
 	for {
 		select {
@@ -68,9 +72,9 @@
 }
 
 func (n *Node) reload() {
-	settings, err := LoadSettings(n.path)
+	settings, err := LoadSettings(n.settingsPath)
 	if err != nil {
-		n.logger.Error("settings not reloaded, the old ones stay in force", zap.Error(err))
+		n.logger.Error("reloading settings failed, keeping the current ones", zap.Error(err))
 		return
 	}
 	n.dispatcher.SetOptions(dispatchOptions(settings, n.headers))
@@ -80,8 +84,8 @@
 		zap.Float64("retry_ratio", settings.Retry.Ratio), zap.Float64("retry_slack", settings.Retry.Slack))
 }
 
-// drain lets clients go elsewhere, hands the managers' locks over, and returns
-// when no request is running or the grace is nearly over.
+// drain makes clients move to other nodes, releases the managers' locks, and returns when no
+// request is running or the grace period is nearly over.
 func (n *Node) drain(ctx context.Context) {
 	defer close(n.drained)
 	startedAt := time.Now()
@@ -91,65 +95,65 @@
 	n.managers.stop()
 	n.stopHome()
 	grace := n.settings.grace()
-	takeUntil := startedAt.Add(min(notReadyMost, time.Duration(notReadyPart*float64(grace))))
-	closeAt := startedAt.Add(time.Duration(closePart * float64(grace)))
-	n.dispatcher.ShutDownBy(startedAt.Add(time.Duration(answerPart * float64(grace))))
-	periodic.Pause(ctx, time.Until(takeUntil))
+	acceptUntil := startedAt.Add(min(maxNotReady, time.Duration(notReadyFraction*float64(grace))))
+	closeAt := startedAt.Add(time.Duration(closeFraction * float64(grace)))
+	n.dispatcher.ShutDownBy(startedAt.Add(time.Duration(responseFraction * float64(grace))))
+	periodic.Pause(ctx, time.Until(acceptUntil))
 	bounded, cancel := context.WithDeadline(ctx, closeAt)
 	defer cancel()
 	n.closeIdleClients(bounded)
-	// What is left is being served; Shutdown waits for its end.
+	// The remaining connections have requests in progress; Shutdown waits for them.
 	if err := n.clients.Shutdown(bounded); err != nil && !errors.Is(err, net.ErrClosed) {
 		n.handler.MarkForcedClose()
-		n.logger.Warn("requests cut off at the end", zap.Int("active", n.handler.Active()), zap.Error(err))
+		n.logger.Warn("connections closed with requests in progress", zap.Int("active", n.handler.Active()), zap.Error(err))
 	}
 	n.waitForHome(bounded)
 }
 
-// stopHome gives other nodes' requests that wait back and takes no more.
+// stopHome returns queued requests of other nodes to their senders and accepts no more.
 func (n *Node) stopHome() {
 	if n.peers.home != nil {
 		n.peers.home.Stop()
 	}
 }
 
-// waitForHome returns when no request of another node is running, and what was said of
-// the last ones has left the node.
+// waitForHome returns when no request of another node is running and the outcomes of the last
+// ones have been sent.
 func (n *Node) waitForHome(ctx context.Context) {
 	if n.peers.home == nil {
 		return
 	}
 	for n.peers.home.Active() > 0 && ctx.Err() == nil {
-		periodic.Pause(ctx, idleClosePause)
+		periodic.Pause(ctx, idleCloseInterval)
 	}
-	periodic.Pause(ctx, idleClosePause)
+	periodic.Pause(ctx, idleCloseInterval)
 }
 
-// closeIdleClients takes no more connections and ends those that are idle. Unlike
-// http.Server.Shutdown it ends none with a request that was not read yet.
+// closeIdleClients accepts no more connections and closes those that are idle. Unlike
+// http.Server.Shutdown it closes none that has a request which was not read yet.
 func (n *Node) closeIdleClients(ctx context.Context) {
 	if listener := n.listener.Load(); listener != nil {
-		// It is closed again by Shutdown; an error says that it was closed before.
+		// Shutdown closes it again; an error means that it was already closed.
 		_ = (*listener).Close()
 	}
 	for n.connections.CloseIdle() > 0 && ctx.Err() == nil {
-		periodic.Pause(ctx, idleClosePause)
+		periodic.Pause(ctx, idleCloseInterval)
 	}
 }
 
-// endClients closes the clients' connections. A node that did not drain, because a part
-// of it failed, answers what it has read before that.
-func (n *Node) endClients() {
+// closeClients closes the clients' connections. A node that did not drain, because one of its
+// actors failed, first answers the requests that it has read.
+func (n *Node) closeClients() {
 	if !n.stopping.Load() {
 		n.handler.Drain()
 		n.dispatcher.ShutDownBy(time.Now())
-		ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+		ctx, cancel := context.WithTimeout(context.Background(), finalResponseTimeout)
 		defer cancel()
 		if err := n.clients.Shutdown(ctx); err != nil {
 			n.handler.MarkForcedClose()
-			n.logger.Warn("requests cut off at the end", zap.Int("active", n.handler.Active()), zap.Error(err))
+			n.logger.Warn("connections closed with requests in progress", zap.Int("active", n.handler.Active()), zap.Error(err))
 		}
 	}
-	// Nothing is left but connections that Shutdown would not wait for.
+	// Only connections that Shutdown did not wait for are left.
 	_ = n.clients.Close()
 }
--- a/internal/router/managers.go
+++ b/internal/router/managers.go
@@ -26,8 +26,9 @@
 	return &managers{config: config, running: make(map[string]*runningManager)}
 }
 
-// follow starts managers for new services and stops those of services that went.
-func (m *managers) follow(ctx context.Context) {
+// reconcile starts managers for new key-divided services and stops those of services that were
+// removed or are no longer key-divided.
+func (m *managers) reconcile(ctx context.Context) {
 	table := m.config.Views.Current().Table
 	if table == nil {
 		return
@@ -66,7 +67,7 @@
 	}
 }
 
-// stop gives all locks up and starts no more managers.
+// stop makes all managers release their locks and starts no more managers.
 func (m *managers) stop() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -35,7 +35,8 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// Platform is what an adapter gives: the outside systems and their names.
+// Platform is what a platform adapter provides: clients of the external systems, and the
+// names that the platform uses for keys, headers and paths.
 type Platform struct {
 	Store     topo.Store
 	Orders    shardmanager.Orders
@@ -46,17 +47,18 @@
 }
 
 const (
-	gcPercent  = 50
-	memoryPart = 0.8
-	// heldPart is the part of the memory for requests that were read ahead and answers that
-	// wait behind others; the rest is for what runs, the copy of the store and garbage.
-	heldPart       = 0.125
-	heldInterval   = 10 * time.Second
-	headerTimeout  = 5 * time.Second
-	idlePrune      = time.Second
-	headerBytes    = 64 << 10
-	metricsPath    = "/metrics"
-	followInterval = 100 * time.Millisecond
+	gcPercent           = 50
+	memoryLimitFraction = 0.8
+	// memoryBudgetFraction is the fraction of the memory for pipelined requests that were read
+	// ahead and responses that wait behind earlier ones; the rest is for running requests, the
+	// copy of the store and garbage.
+	memoryBudgetFraction = 0.125
+	memoryLogInterval    = 10 * time.Second
+	headerTimeout        = 5 * time.Second
+	pruneInterval        = time.Second
+	headerBytes          = 64 << 10
+	metricsPath          = "/metrics"
+	managerInterval      = 100 * time.Millisecond
 )
 
 // Node is a running router node.
@@ -69,32 +71,33 @@
 	dispatcher   *dispatch.Dispatcher
 	handler      *ingress.Handler
 	connections  *ingress.ConnectionTracker
-	held         *pipeline.MemoryBudget
+	memoryBudget *pipeline.MemoryBudget
 	managers     *managers
 	peers        *peers
 	registration *registration
 	record       *headsRecord
-	inner        *transport.Server
+	// internal serves the other nodes, clients the clients.
+	internal     *transport.Server
 	clients      *pipeline.Server
 	ready        *http.Server
 	metrics      *http.Server
 	headers      ingress.Headers
-	path         string
-	// listener is that of the clients; nil before it listens.
+	settingsPath string
+	// listener accepts clients' connections; nil until the node listens.
 	listener atomic.Pointer[net.Listener]
 	stopping atomic.Bool
-	// drained is closed when a stopping node has ended its requests.
+	// drained is closed when the node has finished draining its requests at shutdown.
 	drained chan struct{}
 }
 
-// Run runs a node until it is told to stop.
+// Run runs a node until the context ends or a signal stops it.
 func Run(ctx context.Context, settingsPath string, newPlatform func(*Settings) Platform, stdout io.Writer) error {
 	settings, err := LoadSettings(settingsPath)
 	if err != nil {
 		return err
 	}
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryPart * float64(settings.MemoryMegabytes) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryMegabytes) * (1 << 20)))
 	node, err := newNode(settings, settingsPath, newPlatform(settings), stdout)
 	if err != nil {
 		return err
@@ -102,46 +105,47 @@
 	return node.run(ctx)
 }
 
-func newNode(settings *Settings, path string, platform Platform, stdout io.Writer) (*Node, error) {
+func newNode(settings *Settings, settingsPath string, platform Platform, stdout io.Writer) (*Node, error) {
 	logger, output := routerlog.New(stdout, zapcore.InfoLevel)
 	logger = logger.With(zap.String("node", settings.Node))
 	self := view.Node{Name: settings.Node, Zone: settings.Zone, Address: settings.Listen.Nodes, Process: ulid.Make().String(), Share: settings.ProcessorShare}
-	n := &Node{settings: settings, logger: logger, output: output, headers: platform.Headers, path: path, drained: make(chan struct{})}
+	n := &Node{settings: settings, logger: logger, output: output, headers: platform.Headers, settingsPath: settingsPath, drained: make(chan struct{})}
 	n.views = view.NewBuilder(platform.Layout, platform.Documents, logger)
 	n.dispatcher = dispatch.New(dispatchOptions(settings, platform.Headers), n.views, logger)
 	n.mirror = mirror.New(platform.Store, n.views, logger)
 	n.handler = ingress.NewHandler(platform.Headers, n.views, n.dispatcher, logger)
 	if settings.LinkMegabits != nil {
-		// A link that nobody told of may be far faster than the slowest one.
+		// Without the setting, responses are not paced: the link may be far faster than the
+		// default, which is the slowest one.
 		n.handler.PaceResponses(settings.linkBytes())
 	}
 	n.connections = ingress.NewConnectionTracker(n.connectionLimits)
-	n.held = pipeline.NewMemoryBudget(int64(heldPart * float64(settings.MemoryMegabytes) * (1 << 20)))
+	n.memoryBudget = pipeline.NewMemoryBudget(int64(memoryBudgetFraction * float64(settings.MemoryMegabytes) * (1 << 20)))
 	hello := &wire.Hello{Node: self.Name, Zone: self.Zone, Address: self.Address, ProtocolVersion: wire.ProtocolVersion}
 	client := transport.NewClient(hello, nil)
 	changes := newChangeFeed(self, client, logger)
 	n.views.SetLapse(changes.lapsedUntil)
 	n.dispatcher.SetCopyAge(changes.confirmedAge)
-	n.views.Subscribe(changes.follow)
+	n.views.Subscribe(changes.updateMembers)
 	n.mirror.SetObserver(changes)
 	n.peers = &peers{
 		self: self, client: client, feed: changes,
 		views: n.views, mirror: n.mirror, dispatcher: n.dispatcher, orders: platform.Orders, logger: logger,
 	}
-	n.takePartInHomes(client)
-	n.peers.quotas = quota.NewLimiter("tenants", self.Name, quotaCaller{client: client}, quota.NewAccountStore(), settings.tolerance(), logger)
-	n.peers.serverLimits = quota.NewLimiter("servers", self.Name, quotaCaller{client: client, servers: true}, quota.NewAccountStore(), serverTolerance(), logger)
+	n.enableHomes(client)
+	n.peers.quotas = quota.NewLimiter("tenants", self.Name, quotaClient{client: client}, quota.NewAccountStore(), settings.tolerance(), logger)
+	n.peers.serverLimits = quota.NewLimiter("servers", self.Name, quotaClient{client: client, servers: true}, quota.NewAccountStore(), serverTolerance(), logger)
 	n.dispatcher.SetServerLimits(n.peers.serverLimits)
-	n.dispatcher.SetSignalFunc(n.peers.serverSignalled)
-	n.peers.guard = poison.NewGuard(self.Name, n.peers.tellCrashes, logger)
-	n.views.Subscribe(n.peers.followNodes)
+	n.dispatcher.SetSignalFunc(n.peers.announceServerSignal)
+	n.peers.guard = poison.NewGuard(self.Name, n.peers.announceCrashes, logger)
+	n.views.Subscribe(n.peers.updateGuardNodes)
 	n.dispatcher.SetGuard(n.peers.guard)
-	n.views.Subscribe(n.peers.followQuotas)
+	n.views.Subscribe(n.peers.updateQuotas)
 	n.handler.SetTenancy(ingress.Tenancy{Quotas: n.peers.quotas, Freshness: n.copyFreshness, Staleness: settings.staleness()})
-	n.peers.copies = &copyGiver{mirror: n.mirror, feed: changes, linkBytes: settings.linkBytes()}
-	n.dispatcher.SetColdServerFunc(n.peers.coldFound)
+	n.peers.copies = &copyProvider{mirror: n.mirror, feed: changes, linkBytes: settings.linkBytes()}
+	n.dispatcher.SetColdServerFunc(n.peers.announceColdServer)
 	n.record = &headsRecord{store: platform.Store, feed: changes, mirror: n.mirror, nodes: n.peers.nodes, logger: logger}
-	n.mirror.SetCopySource(copyTaker{peers: n.peers, record: n.record, firstStart: settings.FirstStart, readsPerSecond: settings.Store.ReadsPerSecond})
+	n.mirror.SetCopySource(copyFetcher{peers: n.peers, record: n.record, firstStart: settings.FirstStart, readsPerSecond: settings.Store.ReadsPerSecond})
 	n.peers.setSeeds(settings.Seeds)
 	options := shards.DefaultOptions()
 	options.Hold = min(options.Hold, time.Duration(settings.MaxHoldMillis)*time.Millisecond)
@@ -150,18 +154,19 @@
 		RateLimit: n.peers.serverLimits.Observed, Clock: clock.Boot, Logger: logger,
 	})
 	n.peers.managers = n.managers
-	n.registration = &registration{self: self, store: platform.Store, logger: logger, regained: n.mirror.Resume}
+	n.registration = &registration{self: self, store: platform.Store, logger: logger, onStoreRecovered: n.mirror.Resume}
 	return n, n.listen(hello, platform.ReadyPath)
 }
 
-// copyFreshness returns how new the node's copy of the store is.
+// copyFreshness returns the age of the node's copy of the store.
 func (n *Node) copyFreshness() tenants.Freshness {
 	age, confirmed := n.peers.feed.confirmedAge()
 	return tenants.Freshness{Age: age, Confirmed: confirmed}
 }
 
-// takePartInHomes makes the node home to servers, and hand requests over to other homes.
-func (n *Node) takePartInHomes(client *transport.Client) {
+// enableHomes makes the node a home of servers and hands requests off to other homes, if the
+// settings ask for homes.
+func (n *Node) enableHomes(client *transport.Client) {
 	if !n.settings.Homes {
 		return
 	}
@@ -171,8 +176,8 @@
 	n.peers.home = handoff.NewHome(n.views, n.dispatcher, n.logger)
 }
 
-// connectionLimits returns how long clients' connections may be idle and how long
-// the header of a request may take; no limits while no configuration is known.
+// connectionLimits returns the idle timeout of clients' connections and the timeout for
+// reading a request's header; zero, for no limit, while no configuration is known.
 func (n *Node) connectionLimits() (idle, header time.Duration) {
 	if table := n.views.Current().Table; table != nil {
 		return table.Limits().IdleTimeout, table.Limits().HeaderTimeout
@@ -184,7 +189,8 @@
 	return dispatch.Options{
 		Node: settings.Node,
 		Zone: settings.Zone,
-		// Half of what is allowed is for the news to arrive and for requests on their way.
+		// The other half of the allowed time is for the change to reach all nodes and for
+		// requests in flight.
 		LeaveGrace:      settings.drain() / 2,
 		EvacuationGrace: settings.evacuation() / 2,
 		WarmUpOver:      settings.WarmUp.Over,
@@ -200,17 +206,17 @@
 }
 
 func (n *Node) listen(hello *wire.Hello, readyPath string) error {
-	inner, err := net.Listen("tcp", n.settings.Listen.Nodes)
+	internal, err := net.Listen("tcp", n.settings.Listen.Nodes)
 	if err != nil {
 		return errors.Wrap(err, "listen for nodes")
 	}
-	n.inner = transport.NewServer(hello, inner, nil, n.peers, n.logger)
+	n.internal = transport.NewServer(hello, internal, nil, n.peers, n.logger)
 	n.clients = &pipeline.Server{
 		Handler: n.handler, MayRunConcurrently: n.handler.MayRunConcurrently,
-		Connections: n.connections, HeaderBytes: headerBytes, MemoryBudget: n.held, Logger: n.logger,
+		Connections: n.connections, HeaderBytes: headerBytes, MemoryBudget: n.memoryBudget, Logger: n.logger,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+readyPath, n.answerReady)
+	mux.HandleFunc("GET "+readyPath, n.handleReadiness)
 	n.ready = &http.Server{Addr: n.settings.Listen.Ready, Handler: mux, ReadHeaderTimeout: headerTimeout}
 	metrics := http.NewServeMux()
 	metrics.Handle("GET "+metricsPath, promhttp.Handler())
@@ -218,9 +224,9 @@
 	return nil
 }
 
-// answerReady tells whether the node takes new clients: it knows a configuration
-// and servers, and is not stopping.
-func (n *Node) answerReady(writer http.ResponseWriter, _ *http.Request) {
+// handleReadiness answers the readiness check. The node is ready for new clients if it knows a
+// configuration and servers and is not stopping.
+func (n *Node) handleReadiness(writer http.ResponseWriter, _ *http.Request) {
 	current := n.views.Current()
 	if n.stopping.Load() || current.Table == nil || current.Servers.Len() == 0 {
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -247,55 +253,55 @@
 	actor(n.mirror.Run)
 	actor(func(ctx context.Context) error {
 		schedule := func() (time.Duration, bool) { return n.peers.feed.schedule(n.peers.nodes()) }
-		return n.mirror.CheckFreshness(ctx, schedule, n.peers.found)
+		return n.mirror.CheckFreshness(ctx, schedule, n.peers.announceRevision)
 	})
 	actor(func(ctx context.Context) error {
 		return periodic.Run(ctx, feedTick, func(context.Context) { n.peers.feed.tick() })
 	})
 	actor(n.dispatcher.Run)
 	actor(func(ctx context.Context) error {
-		return periodic.Run(ctx, followInterval, func(context.Context) { n.managers.follow(ctx) })
+		return periodic.Run(ctx, managerInterval, func(context.Context) { n.managers.reconcile(ctx) })
 	})
-	actor(func(ctx context.Context) error { return periodic.Run(ctx, nodeKeep, n.registration.step) })
+	actor(func(ctx context.Context) error { return periodic.Run(ctx, renewInterval, n.registration.step) })
 	actor(func(ctx context.Context) error { return periodic.Run(ctx, recordInterval, n.record.step) })
 	actor(func(ctx context.Context) error {
-		return periodic.Run(ctx, idlePrune, func(context.Context) { n.connections.Prune(time.Now()) })
+		return periodic.Run(ctx, pruneInterval, func(context.Context) { n.connections.Prune(time.Now()) })
 	})
-	actor(func(ctx context.Context) error { return periodic.Run(ctx, heldInterval, n.logHeld()) })
+	actor(func(ctx context.Context) error { return periodic.Run(ctx, memoryLogInterval, n.logMemoryBudget()) })
 	actor(func(ctx context.Context) error {
 		return periodic.Run(ctx, poison.RebroadcastInterval, func(context.Context) { n.peers.guard.Rebroadcast() })
 	})
 	actor(n.peers.reportLoad)
 	actor(n.peers.exchangeState)
 	actor(func(ctx context.Context) error { return n.watchSignals(ctx, signals) })
-	group.Add(n.inner.Serve, func(error) { n.inner.Close() })
+	group.Add(n.internal.Serve, func(error) { n.internal.Close() })
 	group.Add(func() error { return serveHTTP(n.ready) }, func(error) { _ = n.ready.Close() })
 	if n.settings.Listen.Metrics != "" {
 		group.Add(func() error { return serveHTTP(n.metrics) }, func(error) { _ = n.metrics.Close() })
 	}
-	group.Add(n.serveClients, func(error) { n.endClients() })
+	group.Add(n.serveClients, func(error) { n.closeClients() })
 	err := group.Run()
 	n.managers.wait()
-	n.registration.end()
+	n.registration.remove()
 	n.logger.Info("node stopped", zap.Error(err))
 	endLogging()
 	<-written
 	return err
 }
 
-// logHeld returns what logs how much the node holds for its clients whenever the most of
-// it has grown.
-func (n *Node) logHeld() func(context.Context) {
+// logMemoryBudget returns a periodic step that logs the use of the memory budget for clients
+// whenever its peak has grown.
+func (n *Node) logMemoryBudget() func(context.Context) {
 	logged := int64(0)
 	return func(context.Context) {
-		if peak := n.held.Peak(); peak > logged {
+		if peak := n.memoryBudget.Peak(); peak > logged {
 			logged = peak
-			n.logger.Info("held for clients", zap.Int64("bytes", n.held.Now()), zap.Int64("most", peak))
+			n.logger.Info("memory held for clients reached a new peak", zap.Int64("bytes", n.memoryBudget.Now()), zap.Int64("most", peak))
 		}
 	}
 }
 
-// serveClients serves until the node stops, and then until it has drained.
+// serveClients serves clients until the node stops, and returns when it has drained.
 func (n *Node) serveClients() error {
 	listener, err := net.Listen("tcp", n.settings.Listen.Clients)
 	if err != nil {
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -27,16 +27,16 @@
 )
 
 const (
-	// reportInterval is the pause between two load reports to a manager, as long
-	// as there are few nodes; nodesPerInterval more of them make it that much
-	// longer, so that the manager's work does not grow with their number.
+	// reportInterval is the pause between two load reports to a manager with few nodes. Every
+	// nodesPerInterval nodes add another reportInterval, so that the manager's work does not
+	// grow with their number.
 	reportInterval   = 200 * time.Millisecond
 	nodesPerInterval = 24
 	// stateInterval is the pause between two comparisons with another node, and
-	// stateIntervalLost that of a node that the store does not answer.
-	stateInterval     = 1 * time.Second
-	stateIntervalLost = 250 * time.Millisecond
-	stateTimeout      = 500 * time.Millisecond
+	// stateIntervalOutage that of a node that cannot reach the store.
+	stateInterval       = 1 * time.Second
+	stateIntervalOutage = 250 * time.Millisecond
+	stateTimeout        = 500 * time.Millisecond
 )
 
 // peers exchanges messages with the other nodes.
@@ -48,46 +48,46 @@
 	mirror     *mirror.Mirror
 	dispatcher *dispatch.Dispatcher
 	managers   *managers
-	// orders reaches servers from this node, for other nodes' orders.
+	// orders sends orders to servers from this node on behalf of other nodes.
 	orders shardmanager.Orders
 	feed   *changeFeed
-	copies *copyGiver
-	// home takes requests over from other nodes; nil if this node takes none.
+	copies *copyProvider
+	// home executes requests that other nodes hand off; nil if this node accepts none.
 	home *handoff.Home
-	// quotas keeps the use of tenants within their limits.
+	// quotas enforces the limits of tenants.
 	quotas *quota.Limiter
-	// serverLimits keeps what servers get within the limits that they name.
+	// serverLimits enforces the rate limits that servers announce.
 	serverLimits *quota.Limiter
-	// guard keeps requests that crash servers from them.
+	// guard rejects requests that crash servers.
 	guard  *poison.Guard
 	logger *zap.Logger
 
 	mutex sync.Mutex
-	// heardFrom holds addresses of nodes that sent something, the last one last:
-	// other ways to learn of nodes may be missing.
-	heardFrom []string
+	// recentSenders holds addresses of nodes that sent messages, the latest last. They are
+	// used if there is no other way to find nodes.
+	recentSenders []string
 }
 
-// maxHeardFrom bounds the addresses that are remembered.
-const maxHeardFrom = 8
+// maxRecentSenders bounds the addresses in recentSenders.
+const maxRecentSenders = 8
 
-// hear remembers the address of a node that sent something.
-func (p *peers) hear(address string) {
+// rememberSender remembers the address of a node that sent a message.
+func (p *peers) rememberSender(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if address == "" || slices.Contains(p.heardFrom, address) {
+	if address == "" || slices.Contains(p.recentSenders, address) {
 		return
 	}
-	p.heardFrom = append(p.heardFrom, address)
-	if len(p.heardFrom) > maxHeardFrom {
-		p.heardFrom = p.heardFrom[1:]
+	p.recentSenders = append(p.recentSenders, address)
+	if len(p.recentSenders) > maxRecentSenders {
+		p.recentSenders = p.recentSenders[1:]
 	}
 }
 
-func (p *peers) heard() []string {
+func (p *peers) senderAddresses() []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return slices.Clone(p.heardFrom)
+	return slices.Clone(p.recentSenders)
 }
 
 // setSeeds replaces the addresses at which other nodes may be found.
@@ -100,8 +100,8 @@
 	for _, r := range ranges {
 		notice.Ranges = append(notice.Ranges, &wire.ShardRange{Last: r.Last, Fence: r.Fence})
 	}
-	p.toHeads(moveEnvelope(notice, true))
-	p.toFollowers(moveEnvelope(notice, false))
+	p.sendToHeads(moveEnvelope(notice, true))
+	p.sendToFollowers(moveEnvelope(notice, false))
 }
 
 func moveEnvelope(notice *wire.MoveNotice, forward bool) *wire.Envelope {
@@ -109,9 +109,9 @@
 	return &wire.Envelope{Body: &wire.Envelope_MoveNotice{MoveNotice: copied}}
 }
 
-// itemEnvelope carries an item, without its value if there is a delta.
+// itemEnvelope returns a message with an item, which omits the value if there is a delta.
 func itemEnvelope(event topo.Event, forward bool) *wire.Envelope {
-	item := encodedChange(event)
+	item := encodeChange(event)
 	item.Forward = forward
 	return &wire.Envelope{Body: &wire.Envelope_StoreItem{StoreItem: item}}
 }
@@ -119,8 +119,8 @@
 // PublishItem implements shardmanager.Notices.
 func (p *peers) PublishItem(item topo.Item) {
 	event, _ := p.mirror.ApplyPushed(topo.Event{Item: item})
-	p.toHeads(itemEnvelope(event, true))
-	p.toFollowers(itemEnvelope(event, false))
+	p.sendToHeads(itemEnvelope(event, true))
+	p.sendToFollowers(itemEnvelope(event, false))
 }
 
 // NotifyPredecessors implements shardmanager.Notices.
@@ -144,13 +144,13 @@
 	}}})
 }
 
-// found tells the other heads of a revision that the store had just now.
-func (p *peers) found(revision int64) {
-	p.toHeads(&wire.Envelope{Body: &wire.Envelope_StateNotice{StateNotice: &wire.StateNotice{Revision: revision}}})
+// announceRevision notifies the other heads of the store's current revision.
+func (p *peers) announceRevision(revision int64) {
+	p.sendToHeads(&wire.Envelope{Body: &wire.Envelope_StateNotice{StateNotice: &wire.StateNotice{Revision: revision}}})
 }
 
-// toHeads sends a message to the other heads; each may miss it.
-func (p *peers) toHeads(envelope *wire.Envelope) {
+// sendToHeads sends a message to the other heads, without a guarantee of delivery.
+func (p *peers) sendToHeads(envelope *wire.Envelope) {
 	for _, address := range p.feed.heads() {
 		if address != p.self.Address {
 			p.client.Send(address, envelope)
@@ -158,42 +158,43 @@
 	}
 }
 
-// toFollowers sends a message to the nodes that follow this one; each may miss it.
-func (p *peers) toFollowers(envelope *wire.Envelope) {
+// sendToFollowers sends a message to the nodes that follow this one, without a guarantee of
+// delivery.
+func (p *peers) sendToFollowers(envelope *wire.Envelope) {
 	for _, address := range p.feed.followers() {
 		p.client.Send(address, envelope)
 	}
 }
 
-// nodes returns how many nodes are registered.
+// nodes returns the number of registered nodes.
 func (p *peers) nodes() int { return p.views.Current().Nodes.Len() }
 
 // HandleMessage implements transport.Handler.
 func (p *peers) HandleMessage(from *wire.Hello, envelope *wire.Envelope) {
-	p.hear(from.GetAddress())
+	p.rememberSender(from.GetAddress())
 	switch body := envelope.GetBody().(type) {
 	case *wire.Envelope_MoveNotice:
-		p.takeMoveNotice(body.MoveNotice)
+		p.applyMoveNotice(body.MoveNotice)
 	case *wire.Envelope_StoreItem:
-		p.takeItem(body.StoreItem)
+		p.applyItem(body.StoreItem)
 	case *wire.Envelope_StateNotice:
-		p.takeRevision(body.StateNotice.GetRevision())
+		p.applyRevision(body.StateNotice.GetRevision())
 	case *wire.Envelope_FollowRequest:
 		p.feed.step(from.GetAddress(), feed.Message{Follow: &feed.Follow{Revision: body.FollowRequest.GetRevision()}})
 	case *wire.Envelope_FeedHeartbeat:
-		p.feed.step(from.GetAddress(), feed.Message{Heartbeat: heartbeatOf(body.FeedHeartbeat)})
+		p.feed.step(from.GetAddress(), feed.Message{Heartbeat: decodeHeartbeat(body.FeedHeartbeat)})
 	case *wire.Envelope_ChangeBatch:
-		if batch := p.feed.step(from.GetAddress(), feed.Message{Batch: batchOf(body.ChangeBatch)}); batch != nil {
+		if batch := p.feed.step(from.GetAddress(), feed.Message{Batch: decodeBatch(body.ChangeBatch)}); batch != nil {
 			p.mirror.ApplyBatch(*batch)
 		}
 	case *wire.Envelope_LoadReport:
 		p.recordLoad(body.LoadReport)
 	case *wire.Envelope_ColdServer:
-		p.takeColdServer(body.ColdServer)
+		p.applyColdServer(body.ColdServer)
 	case *wire.Envelope_ServerSignals:
-		p.takeServerSignals(body.ServerSignals)
+		p.applyServerSignals(body.ServerSignals)
 	case *wire.Envelope_CrashReport:
-		p.takeCrashes(body.CrashReport)
+		p.applyCrashReport(body.CrashReport)
 	case *wire.Envelope_TermOver:
 		p.views.ApplyRetirement(view.RetirementKey(body.TermOver.GetService(), from.GetNode()), view.Retirement{
 			Process: body.TermOver.GetProcess(), Epoch: int64(body.TermOver.GetEpoch()),
@@ -201,27 +202,28 @@
 	}
 }
 
-func (p *peers) takeMoveNotice(notice *wire.MoveNotice) {
+func (p *peers) applyMoveNotice(notice *wire.MoveNotice) {
 	var ranges []shards.Range
 	for _, r := range notice.GetRanges() {
 		ranges = append(ranges, shards.Range{Last: r.GetLast(), Fence: r.GetFence()})
 	}
 	p.dispatcher.HoldRanges(notice.GetService(), ranges)
 	if notice.GetForward() {
-		p.toFollowers(moveEnvelope(notice, false))
+		p.sendToFollowers(moveEnvelope(notice, false))
 	}
 }
 
-func (p *peers) takeItem(received *wire.StoreItem) {
-	event, isNew := p.mirror.ApplyPushed(changeOf(received))
+func (p *peers) applyItem(received *wire.StoreItem) {
+	event, isNew := p.mirror.ApplyPushed(decodeChange(received))
 	if isNew && received.GetForward() {
-		p.toFollowers(itemEnvelope(event, false))
+		p.sendToFollowers(itemEnvelope(event, false))
 	}
 }
 
-// takeRevision takes in that the store had a revision when another head asked.
-func (p *peers) takeRevision(revision int64) {
-	if !p.feed.told(time.Now(), revision) {
+// applyRevision records that another head read this revision from the store, and catches up if
+// the copy is older.
+func (p *peers) applyRevision(revision int64) {
+	if !p.feed.confirmFromPeer(time.Now(), revision) {
 		go p.mirror.CatchUp(context.Background(), revision)
 	}
 }
@@ -250,7 +252,7 @@
 // HandleCall implements transport.Handler.
 func (p *peers) HandleCall(from *wire.Hello, envelope *wire.Envelope, reply func(*wire.Envelope)) {
 	if order := envelope.GetRelayOrder(); order.GetRelease() {
-		go p.passOn(order, reply)
+		go p.executeRelayedRelease(order, reply)
 		return
 	}
 	if report := envelope.GetQuotaReport(); report != nil {
@@ -263,24 +265,24 @@
 		return
 	}
 	if request.GetItems() {
-		go p.giveCopy(from, reply)
+		go p.sendCopy(from, reply)
 		return
 	}
 	answer := &wire.StateReply{Revision: p.mirror.Revision()}
 	reply(&wire.Envelope{Body: &wire.Envelope_StateReply{StateReply: answer}})
 }
 
-func (p *peers) giveCopy(from *wire.Hello, reply func(*wire.Envelope)) {
+func (p *peers) sendCopy(from *wire.Hello, reply func(*wire.Envelope)) {
 	answer, err := p.copies.reply(from)
 	if err != nil {
-		p.logger.Error("copy not given", zap.String("to", from.GetNode()), zap.Error(err))
+		p.logger.Error("packing the copy for another node failed", zap.String("to", from.GetNode()), zap.Error(err))
 		reply(&wire.Envelope{Body: &wire.Envelope_Failure{Failure: &wire.Failure{Message: "copy cannot be packed"}}})
 		return
 	}
 	reply(&wire.Envelope{Body: &wire.Envelope_StateReply{StateReply: answer}})
 }
 
-// reportLoad reports until the context ends.
+// reportLoad sends load reports until the context ends.
 func (p *peers) reportLoad(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.report()
@@ -289,7 +291,7 @@
 	return nil
 }
 
-// report sends what this node saw of each key-divided service to its manager.
+// report sends this node's load measurements of each key-divided service to its manager.
 func (p *peers) report() {
 	current := p.views.Current()
 	if current.Table == nil {
@@ -299,12 +301,12 @@
 		if !service.KeyDivided {
 			continue
 		}
-		seen := p.dispatcher.TakeReport(name)
-		if len(seen.Keys) == 0 && len(seen.Servers) == 0 {
+		measured := p.dispatcher.TakeReport(name)
+		if len(measured.Keys) == 0 && len(measured.Servers) == 0 {
 			continue
 		}
-		report := &wire.LoadReport{Service: name, Keys: seen.Keys, Weight: float32(seen.Weight)}
-		for _, s := range seen.Servers {
+		report := &wire.LoadReport{Service: name, Keys: measured.Keys, Weight: float32(measured.Weight)}
+		for _, s := range measured.Servers {
 			report.Servers = append(report.Servers, &wire.ServerLoad{
 				Server: string(s.Server), Attempts: s.Attempts, BusyMillis: s.BusyMillis,
 			})
@@ -320,50 +322,51 @@
 	}
 }
 
-// compare asks another node how new its copy of the store is. If this node's copy
-// stays behind, it takes the other one, so that a node learns what the store does
-// not tell it.
-func (p *peers) compare(ctx context.Context) {
+// compareWithPeer asks another node for the revision of its copy of the store. If this node's
+// copy stays behind, it is replaced by the other one, so that a node gets changes that the store
+// does not deliver to it.
+func (p *peers) compareWithPeer(ctx context.Context) {
 	address := p.randomPeer()
 	if address == "" || !p.feed.Watching() {
 		return
 	}
-	seen := p.askState(ctx, address, false)
-	if seen.GetRevision() <= p.mirror.Revision() {
+	peerState := p.requestState(ctx, address, false)
+	if peerState.GetRevision() <= p.mirror.Revision() {
 		return
 	}
-	// A node that the store answers only needs help if its watch stays behind.
-	if !p.mirror.StoreUnreachable() && !p.mirror.CatchUp(ctx, seen.GetRevision()) {
+	// A node that can reach the store needs a peer's copy only if its watch does not catch up.
+	if !p.mirror.StoreUnreachable() && !p.mirror.CatchUp(ctx, peerState.GetRevision()) {
 		return
 	}
-	answer := p.askState(ctx, address, true)
+	answer := p.requestState(ctx, address, true)
 	if !answer.GetComplete() || answer.GetRevision() <= p.mirror.Revision() {
 		return
 	}
 	items, err := unpackItems(answer.GetPacked())
 	if err != nil {
-		p.logger.Warn("state of another node refused", zap.String("address", address), zap.Error(err))
+		p.logger.Warn("decoding the copy of another node failed", zap.String("address", address), zap.Error(err))
 		return
 	}
-	p.logger.Info("state taken from another node", zap.String("address", address), zap.Int64("revision", answer.GetRevision()))
+	p.logger.Info("copy replaced by that of another node", zap.String("address", address), zap.Int64("revision", answer.GetRevision()))
 	p.mirror.ReplaceCopy(items, answer.GetRevision())
 }
 
-// exchangeState compares with other nodes until the context ends.
+// exchangeState compares this node's copy with those of other nodes until the context ends.
 func (p *peers) exchangeState(ctx context.Context) error {
 	for ctx.Err() == nil {
-		p.compare(ctx)
+		p.compareWithPeer(ctx)
 		interval := stateInterval
 		if p.mirror.StoreUnreachable() {
-			interval = stateIntervalLost
+			interval = stateIntervalOutage
 		}
 		periodic.Pause(ctx, interval)
 	}
 	return nil
 }
 
-// askState returns another node's answer, or nil.
-func (p *peers) askState(ctx context.Context, address string, items bool) *wire.StateReply {
+// requestState asks another node for its revision, and with items for its copy. It returns nil
+// if the node does not answer.
+func (p *peers) requestState(ctx context.Context, address string, items bool) *wire.StateReply {
 	bounded, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	ask := &wire.Envelope{Body: &wire.Envelope_StateRequest{StateRequest: &wire.StateRequest{Items: items}}}
@@ -396,11 +399,11 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// unregisteredAddresses returns where other nodes may be found while none is known to
-// be registered.
+// unregisteredAddresses returns addresses at which other nodes may be found while no registered
+// node is known.
 func (p *peers) unregisteredAddresses() []string {
 	var addresses []string
-	for _, address := range append(p.heard(), *p.seeds.Load()...) {
+	for _, address := range append(p.senderAddresses(), *p.seeds.Load()...) {
 		if address != p.self.Address {
 			addresses = append(addresses, address)
 		}
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -12,18 +12,19 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// errNoAnswer means that a node did not answer reports of quotas as it should.
-var errNoAnswer = errors.New("no answer to a report of quotas")
+// errNoResponse means that a node did not answer a quota report, or not with a quota answer.
+var errNoResponse = errors.New("no response to a quota report")
 
-// quotaCaller reports to other nodes. It implements quota.Transport.
-type quotaCaller struct {
+// quotaClient sends quota reports to other nodes. It implements quota.Transport.
+type quotaClient struct {
 	client *transport.Client
-	// servers is true if the limits are those that servers name.
+	// servers is true if the reports are about the limits that servers announce, false if they
+	// are about those of tenants.
 	servers bool
 }
 
 // Report implements quota.Transport.
-func (c quotaCaller) Report(ctx context.Context, address string, uses []quota.NamedReport) ([]quota.Answer, error) {
+func (c quotaClient) Report(ctx context.Context, address string, uses []quota.NamedReport) ([]quota.Answer, error) {
 	report := &wire.QuotaReport{Servers: c.servers, Uses: make([]*wire.QuotaUse, 0, len(uses))}
 	for _, use := range uses {
 		report.Uses = append(report.Uses, &wire.QuotaUse{
@@ -32,10 +33,10 @@
 	}
 	envelope, err := c.client.Call(ctx, address, &wire.Envelope{Body: &wire.Envelope_QuotaReport{QuotaReport: report}})
 	if err != nil {
-		return nil, errors.Mark(err, errNoAnswer)
+		return nil, errors.Mark(err, errNoResponse)
 	}
 	if envelope.GetQuotaAnswer() == nil {
-		return nil, errors.Wrap(errNoAnswer, envelope.GetFailure().GetMessage())
+		return nil, errors.Wrap(errNoResponse, envelope.GetFailure().GetMessage())
 	}
 	answers := make([]quota.Answer, 0, len(uses))
 	for _, grant := range envelope.GetQuotaAnswer().GetGrants() {
@@ -47,7 +48,7 @@
 	return answers, nil
 }
 
-// answerQuotas answers another node's report.
+// answerQuotas returns the response to another node's quota report.
 func (p *peers) answerQuotas(from *wire.Hello, report *wire.QuotaReport) *wire.Envelope {
 	uses := make([]quota.NamedReport, 0, len(report.GetUses()))
 	for _, use := range report.GetUses() {
@@ -60,10 +61,10 @@
 		limiter = p.serverLimits
 	}
 	answer := &wire.QuotaAnswer{Grants: make([]*wire.QuotaGrant, 0, len(uses))}
-	for _, of := range limiter.Answer(from.GetNode(), uses) {
+	for _, grant := range limiter.Answer(from.GetNode(), uses) {
 		answer.Grants = append(answer.Grants, &wire.QuotaGrant{
-			Granted: uint32(of.Granted), Ahead: uint32(of.Ahead), Calm: of.Calm, NotHome: of.NotHome,
-			RetryAfterMicros: of.RetryAfter.Microseconds(), Observed: encodeObservation(of.Observed),
+			Granted: uint32(grant.Granted), Ahead: uint32(grant.Ahead), Calm: grant.Calm, NotHome: grant.NotHome,
+			RetryAfterMicros: grant.RetryAfter.Microseconds(), Observed: encodeObservation(grant.Observed),
 		})
 	}
 	return &wire.Envelope{Body: &wire.Envelope_QuotaAnswer{QuotaAnswer: answer}}
@@ -85,8 +86,8 @@
 	}
 }
 
-// followQuotas tells the limiters of the tenants and nodes of a view.
-func (p *peers) followQuotas(current *view.View) {
+// updateQuotas passes the tenants and nodes of a view to the limiters.
+func (p *peers) updateQuotas(current *view.View) {
 	if current.Table == nil || (current.Unchanged.Table && current.Unchanged.Nodes) {
 		return
 	}
--- a/internal/router/registration.go
+++ b/internal/router/registration.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	nodeTTL  = 6 * time.Second
-	nodeKeep = 2 * time.Second
+	// registrationTTL is the TTL of the lease of a node's entry, which is renewed at every
+	// renewInterval.
+	registrationTTL = 6 * time.Second
+	renewInterval   = 2 * time.Second
 )
 
-// registration keeps this node's entry in the store. Its renewals also tell
-// whether the store can be reached, without the price of a read.
+// registration maintains this node's entry in the store. Its renewals also show whether the
+// store is reachable, without the cost of a read.
 type registration struct {
 	self   view.Node
 	store  topo.Store
 	logger *zap.Logger
-	// regained is called when the store answers again.
-	regained func()
+	// onStoreRecovered is called when the store answers after an outage.
+	onStoreRecovered func()
 
 	lease topo.LeaseID
 	// era is the store's era in which the entry was written.
-	era  int64
-	lost bool
+	era     int64
+	failing bool
 }
 
 // step registers the node or renews its registration.
 func (r *registration) step(ctx context.Context) {
-	err := r.keep(ctx)
+	err := r.renew(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	if err != nil && !r.lost {
-		r.logger.Warn("registration not renewed", zap.Error(err))
+	if err != nil && !r.failing {
+		r.logger.Warn("renewing the registration failed", zap.Error(err))
 	}
-	if err == nil && r.lost {
-		r.logger.Info("registration renewed again")
-		r.regained()
+	if err == nil && r.failing {
+		r.logger.Info("registration renewed after failures")
+		r.onStoreRecovered()
 	}
-	r.lost = err != nil
+	r.failing = err != nil
 }
 
-func (r *registration) keep(ctx context.Context) error {
+func (r *registration) renew(ctx context.Context) error {
 	if r.lease != 0 {
 		err := r.store.KeepLease(ctx, r.lease)
-		// A restored store may have the lease without the entry, or an earlier one.
+		// A restored store may have the lease without the entry, or with an earlier one.
 		restored := err == nil && r.store.Era() > r.era
 		if !errors.Is(err, topo.ErrLeaseGone) && !restored {
 			return err
 		}
 		r.lease = 0
 	}
-	lease, _, err := r.store.GrantLease(ctx, nodeTTL)
+	lease, _, err := r.store.GrantLease(ctx, registrationTTL)
 	if err != nil {
 		return err
 	}
@@ -75,13 +77,13 @@
 	return err
 }
 
-// end removes the registration.
-func (r *registration) end() {
+// remove removes the registration.
+func (r *registration) remove() {
 	if r.lease == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), nodeKeep/2)
+	ctx, cancel := context.WithTimeout(context.Background(), renewInterval/2)
 	defer cancel()
-	// If it fails, the lease ends by itself.
+	// If this fails, the lease expires.
 	_ = r.store.EndLease(ctx, r.lease)
 }
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// relayTimeout is how long a relayed release may take; its answer comes when
-	// what runs on the keys has ended.
+	// relayTimeout bounds a relayed release, which is answered only when the requests that run
+	// on the keys have ended.
 	relayTimeout = 3 * time.Second
-	// maxRelays is how many other nodes are asked at a time.
+	// maxRelays is how many other nodes are asked concurrently.
 	maxRelays = 3
 )
 
@@ -41,8 +41,8 @@
 	return outcome, ""
 }
 
-// relay asks some other nodes to pass a release on and returns the handover of
-// the first that succeeded.
+// relay asks some other nodes to relay a release and returns the handover of the first that
+// succeeded.
 func (p *peers) relay(ctx context.Context, release shards.Release) (string, bool) {
 	bounded, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	}
 	results := make(chan *wire.RelayResult, len(addresses))
 	for _, address := range addresses {
-		go func() { results <- p.askRelay(bounded, address, release) }()
+		go func() { results <- p.requestRelay(bounded, address, release) }()
 	}
 	for range addresses {
 		if result := <-results; result.GetAccepted() {
@@ -64,7 +64,7 @@
 	return "", false
 }
 
-func (p *peers) askRelay(ctx context.Context, address string, release shards.Release) *wire.RelayResult {
+func (p *peers) requestRelay(ctx context.Context, address string, release shards.Release) *wire.RelayResult {
 	order := &wire.RelayOrder{
 		Release: true, Address: release.Address, Server: string(release.Owner),
 		First: release.First, Last: release.Last, Fence: release.Fence,
@@ -76,8 +76,8 @@
 	return answer.GetRelayResult()
 }
 
-// passOn carries out another node's order to a server.
-func (p *peers) passOn(order *wire.RelayOrder, reply func(*wire.Envelope)) {
+// executeRelayedRelease sends another node's release to a server and replies with the result.
+func (p *peers) executeRelayedRelease(order *wire.RelayOrder, reply func(*wire.Envelope)) {
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
 	outcome, handover := p.orders.Release(ctx, shards.Release{
--- a/internal/router/restored_test.go
+++ b/internal/router/restored_test.go
@@ -17,12 +17,12 @@
 	ctx := context.Background()
 	store := memory.New()
 	self := view.Node{Name: "n1", Process: "p1"}
-	registered := &registration{self: self, store: store, logger: zap.NewNop(), regained: func() {}}
-	lease, _, err := store.GrantLease(ctx, nodeTTL)
+	registered := &registration{self: self, store: store, logger: zap.NewNop(), onStoreRecovered: func() {}}
+	lease, _, err := store.GrantLease(ctx, registrationTTL)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The lease is in the copy, the entry is not.
+	// The saved store has the lease but not the entry.
 	saved := store.Save()
 	registered.step(ctx)
 	registered.lease = lease
@@ -50,15 +50,15 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	const often = 100 * time.Millisecond
+	const interval = 100 * time.Millisecond
 	go func() {
-		_ = root.mirror.CheckFreshness(ctx, func() (time.Duration, bool) { return often, true }, func(int64) {})
+		_ = root.mirror.CheckFreshness(ctx, func() (time.Duration, bool) { return interval, true }, func(int64) {})
 	}()
 	saved := store.Save()
 	store.Write("other/0", []byte("lost"))
 	waitForRevision(t, root, 501)
 	waitForRevision(t, node, 501)
-	// Without the store, each node comes to ask it.
+	// During an outage each node starts to ask the store itself.
 	store.SetFaults(memory.Faults{Down: true})
 	time.Sleep(3 * time.Second)
 	before := store.Calls("list")
@@ -73,8 +73,8 @@
 
 func waitForRevision(t *testing.T, node *copyNode, revision int64) {
 	t.Helper()
-	const patience = 5 * time.Second
-	for deadline := time.Now().Add(patience); node.mirror.Revision() < revision; time.Sleep(time.Millisecond) {
+	const timeout = 5 * time.Second
+	for deadline := time.Now().Add(timeout); node.mirror.Revision() < revision; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("%s is at revision %d, want %d", node.self.Name, node.mirror.Revision(), revision)
 		}
--- a/internal/router/scale_test.go
+++ b/internal/router/scale_test.go
@@ -55,8 +55,8 @@
 
 const fleetZones = 5
 
-// fleet is one node's parts with a deployment of some size in its view: everything that
-// follows changes of the store.
+// fleet holds the parts of one node that subscribe to changes of the store, with a deployment of
+// a given size in its view.
 type fleet struct {
 	views    *view.Builder
 	size     fleetSize
@@ -71,7 +71,7 @@
 	self := view.Node{Name: "edge-zone-100", Zone: "z1", Address: "127.0.0.1:100"}
 	dispatcher := dispatch.New(dispatch.Options{Node: self.Name, Zone: self.Zone}, f.views, zap.NewNop())
 	changes := newChangeFeed(self, nil, zap.NewNop())
-	f.views.Subscribe(changes.follow)
+	f.views.Subscribe(changes.updateMembers)
 	sender := handoff.NewSender(self.Name, transport.NewClient(&wire.Hello{}, nil), zap.NewNop())
 	f.views.Subscribe(sender.Follow)
 	dispatcher.SetHandoffSender(sender)
@@ -81,7 +81,7 @@
 	return f
 }
 
-// fleetItems are the keys of a store: a table, servers of three services, nodes.
+// fleetItems returns the items of a store: a table, servers of three services, nodes.
 func fleetItems(tb testing.TB, size fleetSize) []topo.Item {
 	tb.Helper()
 	spec := routing.Spec{
@@ -137,7 +137,7 @@
 	}
 }
 
-// BenchmarkNodeChange measures what a node does when another one starts again.
+// BenchmarkNodeChange measures what a node does when another one restarts.
 func BenchmarkNodeChange(b *testing.B) {
 	for _, size := range []fleetSize{smallFleet, largeFleet} {
 		b.Run(size.String(), func(b *testing.B) {
@@ -150,8 +150,8 @@
 	}
 }
 
-// bytesPerChange is how much a node allocates for the change of one server: what it copies
-// or makes anew, which grows as the servers that it looks at.
+// bytesPerChange returns how many bytes a node allocates for the change of one server. They grow
+// with the number of servers whose state it copies or rebuilds.
 func bytesPerChange(tb testing.TB, size fleetSize) float64 {
 	tb.Helper()
 	const changes = 2000
@@ -165,17 +165,16 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / changes
 }
 
-// A change of one server costs a node about the same however many servers and nodes there
-// are.
+// The cost of a change of one server must not grow with the number of servers and nodes.
 func TestAChangeCostsTheSameInALargeFleet(t *testing.T) {
-	const most = 2
+	const maxRatio = 2
 	small, large := bytesPerChange(t, smallFleet), bytesPerChange(t, largeFleet)
-	if large > most*small {
-		t.Errorf("a change takes %.0f bytes with %v and %.0f with %v, want at most %d times as many", small, smallFleet, large, largeFleet, most)
+	if large > maxRatio*small {
+		t.Errorf("a change allocates %.0f bytes with %v and %.0f with %v, want at most %d times as many", small, smallFleet, large, largeFleet, maxRatio)
 	}
 }
 
-// BenchmarkFleetMemory reports what a node's parts keep of a deployment.
+// BenchmarkFleetMemory reports the memory that a node uses for its view of a deployment.
 func BenchmarkFleetMemory(b *testing.B) {
 	for _, size := range []fleetSize{smallFleet, largeFleet} {
 		b.Run(size.String(), func(b *testing.B) {
@@ -194,8 +193,8 @@
 	}
 }
 
-// ownerItem is an owner map with two ranges for each server of the divided service, of
-// which one has changed hands.
+// ownerItem returns an owner map with two ranges for each server of the key-divided service, one
+// of which has moved to another owner.
 func ownerItem(tb testing.TB, size fleetSize, revision int) topo.Item {
 	tb.Helper()
 	owners := &shards.Map{Service: "a", Epoch: 1}
@@ -218,7 +217,7 @@
 	return topo.Item{Key: view.OwnersKey("a", 0), Value: encoded}
 }
 
-// BenchmarkOwnerChange measures what a node does when a range changes hands.
+// BenchmarkOwnerChange measures what a node does when a range moves to another owner.
 func BenchmarkOwnerChange(b *testing.B) {
 	for _, size := range []fleetSize{smallFleet, largeFleet} {
 		b.Run(size.String(), func(b *testing.B) {
@@ -233,9 +232,9 @@
 	}
 }
 
-// BenchmarkOwnerChangePassedOn measures the same with the mirror, as at a node that is sent the
-// change as a delta.
-func BenchmarkOwnerChangePassedOn(b *testing.B) {
+// BenchmarkOwnerChangeAsDelta measures the same including the mirror, for a node that gets the
+// change from another node as a delta.
+func BenchmarkOwnerChangeAsDelta(b *testing.B) {
 	for _, size := range []fleetSize{smallFleet, largeFleet} {
 		b.Run(size.String(), func(b *testing.B) {
 			f := newFleet(b, size)
--- a/internal/router/serversignals.go
+++ b/internal/router/serversignals.go
@@ -9,17 +9,17 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// serverTolerance is what a server in need bears beyond the limit that it names: half as much
-// again within four seconds, and five requests.
+// serverTolerance returns by how much the requests to a rate-limited server may exceed its limit:
+// by half the limit within four seconds, plus five requests.
 func serverTolerance() quota.Tolerance {
 	return quota.Tolerance{Window: 4 * time.Second, Over: 0.5, Slack: 5}
 }
 
-// serverSignalled tells the other nodes what a server asked of all of them.
-func (p *peers) serverSignalled(server discovery.ServerID, told dispatch.Signal) {
-	signals := &wire.ServerSignals{Server: string(server), Limit: encodeObservation(told.Limit), Leaving: told.Leaving}
-	p.toHeads(signalsEnvelope(signals, true))
-	p.toFollowers(signalsEnvelope(signals, false))
+// announceServerSignal notifies the other nodes of a server's signal that concerns all of them.
+func (p *peers) announceServerSignal(server discovery.ServerID, signal dispatch.Signal) {
+	signals := &wire.ServerSignals{Server: string(server), Limit: encodeObservation(signal.Limit), Leaving: signal.Leaving}
+	p.sendToHeads(signalsEnvelope(signals, true))
+	p.sendToFollowers(signalsEnvelope(signals, false))
 }
 
 func signalsEnvelope(signals *wire.ServerSignals, forward bool) *wire.Envelope {
@@ -29,8 +29,8 @@
 	return &wire.Envelope{Body: &wire.Envelope_ServerSignals{ServerSignals: copied}}
 }
 
-// takeServerSignals takes in what a server asked another node for.
-func (p *peers) takeServerSignals(signals *wire.ServerSignals) {
+// applyServerSignals applies a server's signals that another node received.
+func (p *peers) applyServerSignals(signals *wire.ServerSignals) {
 	if limit := decodeObservation(signals.GetLimit()); limit != nil {
 		p.serverLimits.Observe(signals.GetServer(), *limit)
 	}
@@ -38,6 +38,6 @@
 		p.views.MarkLeaving(discovery.ServerID(signals.GetServer()))
 	}
 	if signals.GetForward() {
-		p.toFollowers(signalsEnvelope(signals, false))
+		p.sendToFollowers(signalsEnvelope(signals, false))
 	}
 }
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -1,5 +1,5 @@
-// Package router joins the parts of a router node: the mirror of the store, the
-// dispatcher, the ingress, the managers of keys and the exchange with other nodes.
+// Package router assembles a router node from the mirror of the store, the dispatcher, the
+// ingress, the shard managers and the communication with other nodes.
 package router
 
 import (
@@ -33,20 +33,20 @@
 	Seeds []string `yaml:"seeds"`
 	Store struct {
 		Address string `yaml:"address"`
-		// ReadsPerSecond is how many reads the store takes from all nodes together; 0 or
-		// left out: not known.
+		// ReadsPerSecond is how many reads a second the store accepts from all nodes together;
+		// unknown if it is 0 or left out.
 		ReadsPerSecond float64 `yaml:"reads_per_second"`
 	} `yaml:"store"`
-	// DrainMillis is how long after a server was announced as leaving it may
-	// still get requests.
+	// DrainMillis is how long a server may still get requests after it was announced as
+	// leaving.
 	DrainMillis int `yaml:"drain_millis"`
-	// GraceMillis is how long the node may take to stop.
+	// GraceMillis is the grace period within which the node has to stop.
 	GraceMillis int `yaml:"grace_millis"`
-	// EvacuationMillis is how long after a zone was evacuated its servers may still get
-	// requests; 0 or left out: as long as a server that leaves.
+	// EvacuationMillis is how long the servers of a zone may still get requests after the zone
+	// was evacuated; if it is 0 or left out, DrainMillis applies.
 	EvacuationMillis int `yaml:"evacuation_millis"`
-	// WarmUp bounds what may reach a server that warms up within a second: its rate times
-	// Over, and Slack more. Left out, the rate is the bound.
+	// WarmUp bounds the requests that may reach a server within a second while it warms up:
+	// its warm-up rate times Over, plus Slack. If it is left out, the rate is the bound.
 	WarmUp struct {
 		Over  float64 `yaml:"over"`
 		Slack float64 `yaml:"slack"`
@@ -56,47 +56,48 @@
 		Slack         float64 `yaml:"slack"`
 		WindowSeconds float64 `yaml:"window_seconds"`
 	} `yaml:"retry"`
-	// Quota is by how much the use of a tenant may exceed its limit within any window; left
-	// out: not at all, and each request asks the tenant's home.
+	// Quota is by how much a tenant may exceed its limit within any window. If it is left out,
+	// a tenant may not exceed it at all, and each request asks the tenant's home.
 	Quota struct {
 		WindowSeconds float64 `yaml:"window_seconds"`
 		Over          float64 `yaml:"over"`
 		Slack         float64 `yaml:"slack"`
 	} `yaml:"quota"`
-	// Revocation is what a node does that does not hear whether keys were taken away: if it
-	// is Strict, it lets nobody in by a key once it has heard nothing for Millis.
+	// Revocation is the policy of a node whose copy of the API keys is out of date, so that it
+	// may miss revocations: if Strict is set, no key is accepted once the copy is too old to
+	// put a revocation into force within Millis.
 	Revocation struct {
 		Strict bool `yaml:"strict"`
 		Millis int  `yaml:"millis"`
 	} `yaml:"revocation"`
-	// ConfigurationMillis is how long a change of the configuration may take to be in force.
+	// ConfigurationMillis is the time within which a configuration change has to be in force.
 	ConfigurationMillis int `yaml:"configuration_millis"`
-	// MaxHoldMillis is the longest grant that servers take.
+	// MaxHoldMillis is the longest duration of a grant that servers accept.
 	MaxHoldMillis int `yaml:"max_hold_millis"`
 	// MemoryMegabytes is the memory that the process may use.
 	MemoryMegabytes int `yaml:"memory_megabytes"`
-	// ProcessorShare is the part of a processor that the process has; 1 if it is
-	// left out. Nodes with more of it are preferred for duties.
+	// ProcessorShare is the number of processors available to the process, possibly a
+	// fraction; 1 if it is left out. Nodes with a larger share are preferred for duties such as
+	// head or home.
 	ProcessorShare float64 `yaml:"processor_share"`
-	// LinkMegabits is what the machine's link carries in a second; nil if it is left out.
-	// It bounds how many copies of the store the node gives to others, and is what large
-	// answers are paced by.
+	// LinkMegabits is the bandwidth of the machine's link in megabits per second; nil if it is
+	// left out. It bounds how many copies of the store the node sends to others, and the rate
+	// at which large responses are paced.
 	LinkMegabits *float64 `yaml:"link_megabits"`
-	// FirstStart is true if the whole system starts for the first time: the store has
-	// no record of the heads then.
+	// FirstStart is true if the whole system starts for the first time, when the store has no
+	// record of the heads.
 	FirstStart bool `yaml:"first_start"`
-	// Homes is true if requests go through the homes of their servers.
+	// Homes is true if requests are routed through the homes of their servers.
 	Homes bool `yaml:"homes"`
 }
 
-// Values that stand for settings that are left out: a whole processor, and the slowest
-// link of the users' deployments.
+// Defaults of settings: a whole processor, and the slowest link of the users' deployments.
 const (
 	defaultProcessorShare = 1
 	defaultLinkMegabits   = 20
 )
 
-// LoadSettings reads and checks a settings file. Unknown fields are skipped.
+// LoadSettings reads and validates a settings file. Unknown fields are ignored.
 func LoadSettings(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return ParseSettings(text)
 }
 
-// ParseSettings reads and checks the text of a settings file.
+// ParseSettings decodes and validates the text of a settings file.
 func ParseSettings(text []byte) (*Settings, error) {
 	parsed := &Settings{ProcessorShare: defaultProcessorShare, ConfigurationMillis: defaultConfigurationMillis}
 	if err := yaml.Unmarshal(text, parsed); err != nil {
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// linkBytes is how many bytes the machine's link carries in a second.
+// linkBytes returns the bandwidth of the machine's link in bytes per second.
 func (s *Settings) linkBytes() float64 {
 	const bytesPerMegabit = 1e6 / 8
 	return s.linkMegabits() * bytesPerMegabit
@@ -185,25 +186,26 @@
 	return errors.Wrapf(ErrInvalidSettings, "field %s: %v, allowed: %s", field, value, allowed)
 }
 
-// strictPart is the part of the time in which a key must be out of use after which a node
-// that hears nothing lets nobody in by a key; the rest is for requests on their way.
-const strictPart = 0.8
+// strictFraction is the fraction of the time within which a revoked key must be out of use. A
+// node whose copy is older than that accepts no key; the rest of the time is for requests in
+// flight.
+const strictFraction = 0.8
 
 const (
-	// unknownPart is the part of the time that a change may take after which a node that
-	// hears nothing may lack keys that are in force; a copy in steady state is 1.35 s old at
-	// most.
-	unknownPart = 0.8
-	// defaultConfigurationMillis stands for the time that a change may take if it is left
-	// out.
+	// unknownFraction is the fraction of the time that a configuration change may take. A node
+	// whose copy is older than that may lack keys that are in force. In steady state a copy is
+	// at most 1.35 s old.
+	unknownFraction = 0.8
+	// defaultConfigurationMillis is the default of ConfigurationMillis.
 	defaultConfigurationMillis = 2500
 )
 
-// staleness returns what a node does with keys that has had no news.
+// staleness returns the ages of the copy from which unknown keys, and with a strict policy all
+// keys, can no longer be judged.
 func (s *Settings) staleness() tenants.Staleness {
-	staleness := tenants.Staleness{UnknownAfter: time.Duration(unknownPart * float64(s.ConfigurationMillis) * float64(time.Millisecond))}
+	staleness := tenants.Staleness{UnknownAfter: time.Duration(unknownFraction * float64(s.ConfigurationMillis) * float64(time.Millisecond))}
 	if s.Revocation.Strict {
-		staleness.RevokedAfter = time.Duration(strictPart * float64(s.Revocation.Millis) * float64(time.Millisecond))
+		staleness.RevokedAfter = time.Duration(strictFraction * float64(s.Revocation.Millis) * float64(time.Millisecond))
 	}
 	return staleness
 }
--- a/internal/router/settings_test.go
+++ b/internal/router/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const leastSettings = `
+const minimalSettings = `
 node: n
 listen: {clients: "127.0.0.1:1", ready: "127.0.0.1:2", nodes: "127.0.0.1:3"}
 store: {address: "127.0.0.1:4"}
@@ -21,7 +21,7 @@
 	for name, test := range map[string]struct {
 		line  string
 		bytes float64
-		told  bool
+		isSet bool
 		valid bool
 	}{
 		"left out":      {"", slowestBytes, false, true},
@@ -29,12 +29,12 @@
 		"nothing":       {"link_megabits: 0", 0, true, false},
 		"far too large": {"link_megabits: 1e9", 1.25e14, true, false},
 	} {
-		settings, err := ParseSettings([]byte(leastSettings + test.line))
+		settings, err := ParseSettings([]byte(minimalSettings + test.line))
 		if test.valid != (err == nil) || err != nil && !errors.Is(err, ErrInvalidSettings) {
 			t.Errorf("%s: error %v", name, err)
 		}
-		if got := settings.linkBytes(); got != test.bytes || (settings.LinkMegabits != nil) != test.told {
-			t.Errorf("%s: %v bytes a second, told %v; want %v, %v", name, got, settings.LinkMegabits != nil, test.bytes, test.told)
+		if got := settings.linkBytes(); got != test.bytes || (settings.LinkMegabits != nil) != test.isSet {
+			t.Errorf("%s: %v bytes per second, set %v; want %v, %v", name, got, settings.LinkMegabits != nil, test.bytes, test.isSet)
 		}
 	}
 }
--- a/internal/routerlog/routerlog.go
+++ b/internal/routerlog/routerlog.go
@@ -1,6 +1,6 @@
-// Package routerlog writes structured logs to standard output without ever
-// blocking the code that logs: lines that the reader does not take in time, and
-// lines about answered requests above a rate, are dropped and counted.
+// Package routerlog writes structured logs to standard output without blocking the code that
+// logs. Lines that do not fit in the queue because the reader is slow, and informational lines
+// above a rate, are dropped and counted.
 package routerlog
 
 import (
@@ -15,23 +15,23 @@
 )
 
 const (
-	queueLines = 1024
-	// infoPerSecond bounds informational lines; warnings and errors have the
-	// queue as their only bound.
-	infoPerSecond = 400
-	dropInterval  = time.Second
+	queueSize = 1024
+	// infoPerSecond bounds the rate of informational lines; warnings and errors are bounded
+	// only by the queue.
+	infoPerSecond      = 400
+	dropReportInterval = time.Second
 )
 
-// Output is a queue of lines before a writer.
+// Output queues log lines for a writer.
 type Output struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	writer  io.Writer
 }
 
-// New returns a logger and its output, which has to be run.
+// New returns a logger and its output. Lines are written only while the output's Run is running.
 func New(writer io.Writer, level zapcore.Level) (*zap.Logger, *Output) {
-	output := &Output{lines: make(chan []byte, queueLines), writer: writer}
+	output := &Output{lines: make(chan []byte, queueSize), writer: writer}
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	config.EncodeDuration = zapcore.MillisDurationEncoder
@@ -54,14 +54,14 @@
 // Sync implements zapcore.WriteSyncer.
 func (o *Output) Sync() error { return nil }
 
-// Run writes queued lines until the context ends, and then what is left.
+// Run writes queued lines until the context ends, and then those left in the queue.
 func (o *Output) Run(ctx context.Context, logger *zap.Logger) error {
-	ticker := time.NewTicker(dropInterval)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case line := <-o.lines:
-			// Standard output is gone if this fails; there is no other place to say so.
+			// If this fails, standard output is closed and there is no other place to report it.
 			_, _ = o.writer.Write(line)
 		case <-ticker.C:
 			if dropped := o.dropped.Swap(0); dropped > 0 {
@@ -85,7 +85,7 @@
 	}
 }
 
-// limitedCore bounds informational lines.
+// limitedCore limits the rate of informational lines.
 type limitedCore struct {
 	zapcore.Core
 	limiter *rate.Limiter
--- a/internal/routerlog/routerlog_test.go
+++ b/internal/routerlog/routerlog_test.go
@@ -13,14 +13,14 @@
 	"github.com/micahaven/micahaven/internal/routerlog"
 )
 
-// logged returns what is written for some log calls.
+// logged returns the output of some log calls.
 func logged(write func(logger *zap.Logger)) string {
 	var into bytes.Buffer
 	logger, output := routerlog.New(&into, zapcore.InfoLevel)
 	write(logger)
-	ended, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = output.Run(ended, logger)
+	_ = output.Run(canceled, logger)
 	return into.String()
 }
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// A burst of informational lines is cut, so that failures are kept.
+// A burst of informational lines must not displace warnings.
 func TestInformationalLinesAreBounded(t *testing.T) {
 	const many = 5000
 	text := logged(func(logger *zap.Logger) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks a node's settings file.
+// Package settings reads and validates a node's settings file.
 package settings
 
 import (
@@ -39,16 +39,16 @@
 	Advertise string `yaml:"advertise" validate:"omitempty,hostname_port|tcp_addr"`
 }
 
-// Platform says where the platform's services are.
+// Platform holds the addresses of the platform's services and the limits for using them.
 type Platform struct {
 	KeyValue       []string `yaml:"key_value" validate:"required,min=1,dive,url"`
 	Machines       string   `yaml:"machines" validate:"required,url"`
 	CallsPerSecond float64  `yaml:"calls_per_second" validate:"gt=0,lte=10000"`
-	// MachineLagMillis is how long the machine list may lag, in milliseconds.
+	// MachineLagMillis is how far the machine list may lag behind, in milliseconds.
 	MachineLagMillis int `yaml:"machine_lag_millis" validate:"gte=100,lte=600000"`
 }
 
-// Group holds the durations of the ownership protocol, in milliseconds.
+// Group holds the durations and sizes of the ownership protocol.
 type Group struct {
 	Members              int `yaml:"members" validate:"oneof=1 3 5"`
 	HeartbeatMillis      int `yaml:"heartbeat_millis" validate:"gte=5,lte=10000"`
@@ -62,7 +62,7 @@
 	MovesPerServer       int `yaml:"moves_per_server" validate:"gte=1,lte=1000"`
 }
 
-// Limits bounds what a node takes in.
+// Limits bounds the size of requests and responses and the number of workers.
 type Limits struct {
 	BodyKilobytes   int `yaml:"body_kilobytes" validate:"gte=1,lte=16384"`
 	AnswerKilobytes int `yaml:"answer_kilobytes" validate:"gte=1,lte=16384"`
@@ -70,22 +70,22 @@
 	SessionWorkers  int `yaml:"session_workers" validate:"gte=1,lte=10000"`
 }
 
-// TLS names certificate files; with none, connections are plain.
+// TLS names certificate files. Without them, connections are not encrypted.
 type TLS struct {
 	Certificate string `yaml:"certificate" validate:"required_with=Key Authority"`
 	Key         string `yaml:"key" validate:"required_with=Certificate Authority"`
 	Authority   string `yaml:"authority" validate:"required_with=Certificate Key"`
 }
 
-// Operator says how operators are known.
+// Operator configures the authentication of operators.
 type Operator struct {
-	// TokenFile holds one "name:token" a line. Without it every change is
-	// refused unless AllowAnonymous is set.
+	// TokenFile is the path of a file with one "name:token" per line. Without it every change
+	// is rejected unless AllowAnonymous is set.
 	TokenFile      string `yaml:"token_file"`
 	AllowAnonymous bool   `yaml:"allow_anonymous"`
 }
 
-// Default returns the settings that a file starts from.
+// Default returns the default settings, which a file overrides.
 func Default() Settings {
 	return Settings{
 		Platform: Platform{CallsPerSecond: 20, MachineLagMillis: 5000},
@@ -111,11 +111,11 @@
 	}
 }
 
-// ErrInvalid means that a settings file cannot be used. The message names the
-// field, its value and what is allowed.
+// ErrInvalid means that a settings file cannot be used. The message names the field, its value
+// and the allowed values.
 var ErrInvalid = errors.New("invalid settings")
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return Parse(text)
 }
 
-// Parse reads and checks the text of a file. Unknown fields are refused.
+// Parse decodes and validates the text of a settings file. Unknown fields are rejected.
 func Parse(text []byte) (*Settings, error) {
 	parsed := Default()
 	if err := yaml.UnmarshalWithOptions(text, &parsed, yaml.Strict()); err != nil {
@@ -147,7 +147,7 @@
 	return v
 }
 
-// Validate checks the settings as a whole.
+// Validate checks each field, and that fields that depend on each other are consistent.
 func (s *Settings) Validate() error {
 	var findings validator.ValidationErrors
 	if err := validate.Struct(s); errors.As(err, &findings) {
@@ -173,7 +173,7 @@
 
 func milliseconds(count int) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// Timing returns the durations for package replication.
+// Timing returns the durations that package replication needs.
 func (g *Group) Timing() replication.Timing {
 	return replication.Timing{
 		Heartbeat:      milliseconds(g.HeartbeatMillis),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,8 +24,7 @@
 	}
 }
 
-// TestInvalidSettings checks that errors name the field, the value and what is
-// allowed.
+// TestInvalidSettings checks that errors name the field, the value and the allowed values.
 func TestInvalidSettings(t *testing.T) {
 	cases := map[string]struct {
 		text string
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -1,5 +1,5 @@
-// Package workers runs tasks on a fixed number of goroutines, so that slow
-// servers cannot make the number of goroutines grow without bound.
+// Package workers runs tasks on a fixed number of goroutines, so that their number stays bounded
+// when servers are slow.
 package workers
 
 import (
