--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -103,9 +103,9 @@
 }
 
 // ownerOf returns the range that holds a request's key; false if the key has no owner.
-func (d *Dispatcher) ownerOf(request *Request, owners view.Owners) (shards.Held, bool) {
+func (d *Dispatcher) ownerOf(request *Request, owners view.Owners) (shards.OwnedRange, bool) {
 	if owners.Owners == nil || !request.HasKey || request.Key > shards.LastKey {
-		return shards.Held{}, false
+		return shards.OwnedRange{}, false
 	}
 	held := owners.Find(request.Key)
 	return held, held.Owner != ""
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -148,7 +148,7 @@
 	n.mirror.SetCopySource(copyFetcher{peers: n.peers, record: n.record, firstStart: settings.FirstStart, readsPerSecond: settings.Store.ReadsPerSecond})
 	n.peers.setSeeds(settings.Seeds)
 	options := shards.DefaultOptions()
-	options.Hold = min(options.Hold, time.Duration(settings.MaxHoldMillis)*time.Millisecond)
+	options.Lease = min(options.Lease, time.Duration(settings.MaxHoldMillis)*time.Millisecond)
 	n.managers = newManagers(shardmanager.Config{
 		Self: self, Store: platform.Store, Views: n.views, Orders: &relayedOrders{platform.Orders, n.peers}, Notices: n.peers, Options: options,
 		RateLimit: n.peers.serverLimits.Observed, Clock: clock.Boot, Logger: logger,
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -32,7 +32,7 @@
 // Release implements shardmanager.Orders.
 func (r *relayedOrders) Release(ctx context.Context, release shards.Release) (shards.Outcome, string) {
 	outcome, handover := r.Orders.Release(ctx, release)
-	if outcome != shards.NotSent && outcome != shards.Broken {
+	if outcome != shards.NotSent && outcome != shards.ConnectionLost {
 		return outcome, handover
 	}
 	if relayed, found := r.peers.relay(ctx, release); found {
--- a/internal/shardmanager/campaign_test.go
+++ b/internal/shardmanager/campaign_test.go
@@ -271,7 +271,7 @@
 	})
 	before := sent.count()
 	// Two renewals would be due in this time.
-	time.Sleep(2 * shards.DefaultOptions().Renew)
+	time.Sleep(2 * shards.DefaultOptions().RenewInterval)
 	if after := sent.count(); after != before {
 		t.Fatalf("the first manager sent %d grants after its successor began", after-before)
 	}
--- a/internal/shardmanager/manager.go
+++ b/internal/shardmanager/manager.go
@@ -75,7 +75,7 @@
 	// lapse during a store outage and be written again.
 	goneGrace = 900 * time.Millisecond
 	// outageAuthority is how long a manager that cannot reach the store continues to renew
-	// unchanged grants; shards.Options.PreviousAuthority must not be less.
+	// unchanged grants; shards.Options.PredecessorRenewal must not be less.
 	outageAuthority = 60 * time.Second
 )
 
--- a/internal/shardmanager/suspended_test.go
+++ b/internal/shardmanager/suspended_test.go
@@ -33,7 +33,7 @@
 			// Orders that were in flight when the machine was suspended may still arrive.
 			time.Sleep(300 * time.Millisecond)
 			before := sent.count()
-			time.Sleep(3 * shards.DefaultOptions().Renew)
+			time.Sleep(3 * shards.DefaultOptions().RenewInterval)
 			if renewed := sent.count() > before; renewed != c.renews {
 				t.Errorf("%d renewals after the suspension, want some: %v", sent.count()-before, c.renews)
 			}
--- a/internal/shardmanager/term.go
+++ b/internal/shardmanager/term.go
@@ -63,7 +63,7 @@
 	}
 	if won.written != nil {
 		// The map was written in the same transaction as the lock.
-		t.core.Installed(0)
+		t.core.InitialMapCommitted(0)
 		t.mapRevision = won.lock.revision
 		t.written = won.written
 		item := topo.Item{Key: view.OwnersKey(m.service, won.era), Value: won.encodedMap, Revision: won.lock.revision}
@@ -84,7 +84,7 @@
 // the mutex.
 func (t *term) updatePredecessors(current *view.View) {
 	self := t.manager.config.Self
-	t.core.AuthorsOver(t.now(), func(author shards.Author) bool {
+	t.core.RemoveStoppedAuthors(t.now(), func(author shards.Author) bool {
 		// An earlier term of this process has already waited for its own orders.
 		own := author.Node == self.Name && author.Process == self.Process
 		return own || !current.MaySendOrders(t.manager.service, author.Node, author.Process, int64(author.Epoch))
@@ -204,7 +204,7 @@
 		capacity := t.speeds.capacity(s.ID, s.Slots)
 		servers = append(servers, shards.Server{
 			ID: s.ID, Address: s.Address, Version: s.Version, Accepting: !ended && acceptsKeys(now, current, s),
-			Capacity: capacity, Reduced: isReduced(capacity, s.Slots),
+			Capacity: capacity, ReducedCapacity: isReduced(capacity, s.Slots),
 			Warming: warmUpLimited && now.Before(current.WarmUntil(s)),
 		})
 	}
@@ -232,7 +232,7 @@
 			continue
 		}
 		server.Capacity = capacityWithinLimit(limit, server.Capacity, all-server.Capacity, requestRate)
-		server.Reduced = isReduced(server.Capacity, current.Servers.Get(server.ID).Slots)
+		server.ReducedCapacity = isReduced(server.Capacity, current.Servers.Get(server.ID).Slots)
 	}
 }
 
@@ -306,7 +306,7 @@
 func (t *term) delayedGrantsWait() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.LateOrdersUntil() - t.now()
+	return t.core.DelayedGrantsUntil() - t.now()
 }
 
 const (
@@ -472,7 +472,7 @@
 func (t *term) onCommitted(ctx context.Context, revision int64, written *shards.Map) {
 	t.mutex.Lock()
 	t.mapRevision = revision
-	t.core.Committed(t.now())
+	t.core.CommitDone(t.now())
 	before := t.written
 	t.written = written
 	t.mutex.Unlock()
--- a/internal/shards/balance_test.go
+++ b/internal/shards/balance_test.go
@@ -46,7 +46,7 @@
 		}
 		if commands.Commit != nil {
 			b.stored = commands.Commit.Map
-			b.core.Committed(b.now)
+			b.core.CommitDone(b.now)
 		}
 	}
 }
--- a/internal/shards/commands.go
+++ b/internal/shards/commands.go
@@ -9,7 +9,7 @@
 // Grant asks a server to take a range, or renews the lease that it has on the range.
 type Grant struct {
 	Range
-	Hold time.Duration
+	Lease time.Duration
 }
 
 // Release asks a server to give up keys. Its fence is above those of all earlier grants of the
@@ -55,9 +55,9 @@
 	// Unanswered means that the server may still execute the command, possibly after a long
 	// delay.
 	Unanswered
-	// Broken means that the connection closed without a response: the server has executed the
-	// command by then or never will.
-	Broken
+	// ConnectionLost means that the connection closed without a response: the server has
+	// executed the command by then or never will.
+	ConnectionLost
 )
 
 // String returns the name of the outcome for logs and metrics.
@@ -71,7 +71,7 @@
 		return "not sent"
 	case Unanswered:
 		return "unanswered"
-	case Broken:
+	case ConnectionLost:
 		return "broken"
 	default:
 		return "unknown"
@@ -106,7 +106,8 @@
 	// Warming is true while the server warms up and can handle only a few requests. It is given
 	// no keys while other servers accept keys, but keeps those it has.
 	Warming bool
-	// Reduced is true if the server has a small part of its usual capacity, for a reason whose
-	// end shows only in its responses. Such a server keeps some keys that receive requests.
-	Reduced bool
+	// ReducedCapacity is true if the server has a small part of its usual capacity, for a reason
+	// whose end shows only in its responses. Such a server keeps some keys that receive
+	// requests.
+	ReducedCapacity bool
 }
--- a/internal/shards/dead_test.go
+++ b/internal/shards/dead_test.go
@@ -18,7 +18,7 @@
 	m.SetServers([]Server{back, other}, nil)
 	m.Start()
 	m.Tick(0)
-	m.Committed(0)
+	m.CommitDone(0)
 	now := time.Millisecond
 	for _, grant := range m.Tick(now).Grants {
 		m.GrantDone(now, GrantResult{Grant: grant, SentAt: now, Outcome: Accepted})
--- a/internal/shards/fencing.go
+++ b/internal/shards/fencing.go
@@ -178,7 +178,7 @@
 		}
 		s.grantsInFlight++
 		s.renewAt = now + interval
-		commands.Grants = append(commands.Grants, Grant{Range: m.rangeInMap(s), Hold: m.options.Hold})
+		commands.Grants = append(commands.Grants, Grant{Range: m.rangeInMap(s), Lease: m.options.Lease})
 	}
 }
 
@@ -186,7 +186,7 @@
 // made before the store was restored.
 func (m *Manager) handlePreviousGrant(now time.Duration, s *shard, result GrantResult) {
 	switch result.Outcome {
-	case Accepted, Broken:
+	case Accepted, ConnectionLost:
 		s.leaseUntil = max(s.leaseUntil, now+m.maxLease())
 	case Unanswered:
 		m.recordUnanswered(s, result.SentAt)
--- a/internal/shards/fencing_test.go
+++ b/internal/shards/fencing_test.go
@@ -36,7 +36,7 @@
 			core.GrantDone(now, shards.GrantResult{Grant: grant, SentAt: now, Outcome: shards.Accepted})
 		}
 		if commands.Commit != nil {
-			core.Committed(now)
+			core.CommitDone(now)
 		}
 	}
 	return grants, releases
@@ -90,7 +90,7 @@
 func TestSilentServerIsWaitedForUntilItsGrantsHaveEnded(t *testing.T) {
 	core := newSuccessor(restoredMap())
 	options := shards.DefaultOptions()
-	longest := options.PreviousAuthority + options.MaxCommandDelay + options.Hold
+	longest := options.PredecessorRenewal + options.MaxCommandDelay + options.Lease
 	if grants, _ := runFencing(core, 0, longest, "c"); len(grants) > 0 {
 		t.Fatal("a key is granted although an unknown manager may still renew it at server c")
 	}
@@ -102,9 +102,9 @@
 
 func TestSilentServerIsWaitedForLateGrantsOfManagersThatAreOver(t *testing.T) {
 	core := newSuccessor(restoredMap())
-	core.AuthorsOver(0, func(shards.Author) bool { return true })
+	core.RemoveStoppedAuthors(0, func(shards.Author) bool { return true })
 	options := shards.DefaultOptions()
-	longest := options.MaxCommandDelay + options.Hold
+	longest := options.MaxCommandDelay + options.Lease
 	if grants, _ := runFencing(core, 0, longest, "c"); len(grants) > 0 {
 		t.Fatal("a key is granted although the record of an unanswered grant to server c may be lost")
 	}
@@ -160,7 +160,7 @@
 	for _, release := range commands.Releases {
 		core.ReleaseDone(shards.ReleaseResult{Release: release, Outcome: shards.Accepted})
 	}
-	core.Committed(2 * time.Second)
+	core.CommitDone(2 * time.Second)
 	for now := 2 * time.Second; now < 8*time.Second; now += step {
 		commands := core.Tick(now)
 		if commands.Commit != nil || len(commands.Releases) > 0 || len(commands.Grants) > 0 {
@@ -205,21 +205,21 @@
 	first := newSuccessor(&shards.Map{Service: "s", Epoch: 1, Author: author("p1", 1), Ranges: restoredMap().Ranges})
 	runFencing(first, 0, 2*time.Second)
 	core := shards.NewManager("s", 3, author("p2", 3), first.Freeze(2*time.Second), shards.DefaultOptions(), 0)
-	core.AuthorsOver(0, func(shards.Author) bool { return true })
+	core.RemoveStoppedAuthors(0, func(shards.Author) bool { return true })
 	setAccepting(core, "a", "b", "c")
 	options := shards.DefaultOptions()
 	// Server a leaves shortly before the map is verified, and acknowledges no release after
 	// that.
-	leavesAt := options.MaxCommandDelay + options.Hold - time.Second
+	leavesAt := options.MaxCommandDelay + options.Lease - time.Second
 	var heldUntil time.Duration
-	for now := time.Duration(0); now < options.MaxCommandDelay+3*options.Hold; now += step {
+	for now := time.Duration(0); now < options.MaxCommandDelay+3*options.Lease; now += step {
 		if now >= leavesAt {
 			setAccepting(core, "b", "c")
 		}
 		commands := core.Tick(now)
 		for _, grant := range commands.Grants {
 			if grant.First == 0 && grant.Owner == "a" {
-				heldUntil = now + grant.Hold
+				heldUntil = now + grant.Lease
 			}
 			if grant.First == 0 && grant.Owner != "a" && now < heldUntil {
 				t.Fatalf("server %s is granted keys at %v that server a holds until %v", grant.Owner, now, heldUntil)
@@ -233,7 +233,7 @@
 			core.ReleaseDone(shards.ReleaseResult{Release: release, Outcome: shards.Accepted})
 		}
 		if commands.Commit != nil {
-			core.Committed(now)
+			core.CommitDone(now)
 		}
 	}
 	if !core.Verified() {
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -121,7 +121,7 @@
 	m.uncommitted = !m.installed
 	m.pendingAuthors = authorsPendingAfter(previous)
 	m.lastAuthor = previous.Author
-	m.inheritedUntil = now + options.PreviousAuthority + options.MaxCommandDelay + m.maxLease()
+	m.inheritedUntil = now + options.PredecessorRenewal + options.MaxCommandDelay + m.maxLease()
 	m.lastAuthorUntil = m.inheritedUntil
 	// If one command got no response, others may be in flight that the author could not record
 	// before it stopped.
@@ -152,7 +152,7 @@
 
 // maxLease is the longest time that a lease can last by this manager's clock.
 func (m *Manager) maxLease() time.Duration {
-	return time.Duration(float64(m.options.Hold) * m.options.ClockDrift)
+	return time.Duration(float64(m.options.Lease) * m.options.ClockDrift)
 }
 
 // Started reports whether the manager has a map.
@@ -446,17 +446,17 @@
 	commands.Commit = &Commit{Map: written}
 }
 
-// Installed reports that Map, as it was when the manager was created, is in the store.
-func (m *Manager) Installed(now time.Duration) {
+// InitialMapCommitted reports that Map, as it was when the manager was created, is in the store.
+func (m *Manager) InitialMapCommitted(now time.Duration) {
 	m.uncommitted = false
 	for _, s := range m.shards {
 		s.inFlightOwner = s.Owner
 	}
-	m.Committed(now)
+	m.CommitDone(now)
 }
 
-// Committed reports that the map of the last commit is in the store.
-func (m *Manager) Committed(now time.Duration) {
+// CommitDone reports that the map of the last commit is in the store.
+func (m *Manager) CommitDone(now time.Duration) {
 	if m.frozen {
 		return
 	}
--- a/internal/shards/membership.go
+++ b/internal/shards/membership.go
@@ -71,7 +71,7 @@
 // isIdle reports whether a server should be given more keys even if no other server is
 // overloaded.
 func isIdle(server Server, load, fair float64) bool {
-	if server.Reduced {
+	if server.ReducedCapacity {
 		// One request counts as 1; ranges without requests count as less.
 		return load < 1
 	}
--- a/internal/shards/owners.go
+++ b/internal/shards/owners.go
@@ -33,8 +33,8 @@
 	handedOver   []bool
 }
 
-// Held is a range of an owner map as nodes see it.
-type Held struct {
+// OwnedRange is a range of an owner map as nodes see it.
+type OwnedRange struct {
 	// First and Last are both inclusive.
 	First, Last uint32
 	// Owner is the only server that may hold the keys; empty means none.
@@ -54,8 +54,8 @@
 func (o *Owners) Len() int { return len(o.lastKeys) }
 
 // At returns the range at the given position.
-func (o *Owners) At(position int) Held {
-	held := Held{Last: o.lastKeys[position], Fence: o.fences[position], HandedOver: o.handedOver[position]}
+func (o *Owners) At(position int) OwnedRange {
+	held := OwnedRange{Last: o.lastKeys[position], Fence: o.fences[position], HandedOver: o.handedOver[position]}
 	if position > 0 {
 		held.First = o.lastKeys[position-1] + 1
 	}
@@ -66,7 +66,7 @@
 }
 
 // Find returns the range that contains a key. The key must be at most LastKey.
-func (o *Owners) Find(key uint32) Held {
+func (o *Owners) Find(key uint32) OwnedRange {
 	position, _ := slices.BinarySearch(o.lastKeys, key)
 	return o.At(position)
 }
--- a/internal/shards/owners_test.go
+++ b/internal/shards/owners_test.go
@@ -15,7 +15,7 @@
 		t.Fatalf("%d ranges of epoch %d by %v, want %d of %d by %v", seen.Len(), seen.Epoch, seen.Author, len(whole.Ranges), whole.Epoch, whole.Author)
 	}
 	for index, r := range whole.Ranges {
-		want := Held{First: r.First, Last: r.Last, Owner: r.Owner, Fence: r.Fence, HandedOver: r.Handover != ""}
+		want := OwnedRange{First: r.First, Last: r.Last, Owner: r.Owner, Fence: r.Fence, HandedOver: r.Handover != ""}
 		if got := seen.At(index); got != want {
 			t.Errorf("range %d is %+v, want %+v", index, got, want)
 		}
--- a/internal/shards/predecessor.go
+++ b/internal/shards/predecessor.go
@@ -16,13 +16,13 @@
 	return pending
 }
 
-// AuthorsOver removes the pending managers that send no more commands, as reported by over:
-// they have resigned, their process has ended, or they have announced it. Their last grants
-// expire within one lease.
-func (m *Manager) AuthorsOver(now time.Duration, over func(Author) bool) {
+// RemoveStoppedAuthors removes the pending managers that send no more commands, as reported by
+// hasStopped: they have resigned, their process has ended, or they have announced it. Their
+// last grants expire within one lease.
+func (m *Manager) RemoveStoppedAuthors(now time.Duration, hasStopped func(Author) bool) {
 	var kept []Author
 	for _, author := range m.pendingAuthors {
-		if !over(author) {
+		if !hasStopped(author) {
 			kept = append(kept, author)
 		}
 	}
@@ -65,10 +65,10 @@
 	m.uncommitted = true
 }
 
-// LateOrdersUntil returns when the last unanswered grant can be executed at the latest. A
+// DelayedGrantsUntil returns when the last unanswered grant can be executed at the latest. A
 // manager that has lost its lock can no longer record such grants in the map, so it must not
 // announce before that time that it has stopped.
-func (m *Manager) LateOrdersUntil() time.Duration {
+func (m *Manager) DelayedGrantsUntil() time.Duration {
 	latest := time.Duration(0)
 	for _, s := range m.shards {
 		if s.delayedGrantUntil > 0 {
--- a/internal/shards/predecessor_test.go
+++ b/internal/shards/predecessor_test.go
@@ -29,7 +29,7 @@
 	if commands.Commit == nil {
 		t.Fatal("no commit is requested")
 	}
-	core.Committed(now)
+	core.CommitDone(now)
 	return commands.Commit.Map
 }
 
@@ -41,7 +41,7 @@
 		if commands.Commit == nil {
 			continue
 		}
-		core.Committed(now)
+		core.CommitDone(now)
 		if commands.Commit.Map.Find(0).Owner == "b" {
 			return true
 		}
@@ -67,14 +67,14 @@
 	}
 	third := takeOver(stored, author("p3", 3), 0)
 	over := map[string]bool{"p2": true}
-	third.AuthorsOver(0, func(a shards.Author) bool { return over[a.Process] })
+	third.RemoveStoppedAuthors(0, func(a shards.Author) bool { return over[a.Process] })
 	commitFirstMap(t, third, 0)
 	if movedWithin(third, step, 20*time.Second) {
 		t.Fatal("a range moved although the first manager may still send commands")
 	}
 	over["p1"] = true
 	const known = 20 * time.Second
-	third.AuthorsOver(known, func(a shards.Author) bool { return over[a.Process] })
+	third.RemoveStoppedAuthors(known, func(a shards.Author) bool { return over[a.Process] })
 	const oneLease = 6 * time.Second
 	if !movedWithin(third, known, oneLease) {
 		t.Fatal("no range moved within a lease after all earlier managers had stopped")
@@ -86,13 +86,13 @@
 func TestLateOrdersDelayRetirement(t *testing.T) {
 	core := takeOver(firstMap(), author("p2", 2), 0)
 	grant := shards.Grant{Range: commitFirstMap(t, core, 0).Ranges[0]}
-	core.AuthorsOver(0, func(shards.Author) bool { return true })
-	if until := core.LateOrdersUntil(); until != 0 {
+	core.RemoveStoppedAuthors(0, func(shards.Author) bool { return true })
+	if until := core.DelayedGrantsUntil(); until != 0 {
 		t.Fatalf("late grants possible until %v although there are none", until)
 	}
 	const sentAt = 2 * time.Second
 	core.GrantDone(3*time.Second, shards.GrantResult{Grant: grant, SentAt: sentAt, Outcome: shards.Unanswered})
-	if until, want := core.LateOrdersUntil(), sentAt+shards.DefaultOptions().MaxCommandDelay; until != want {
+	if until, want := core.DelayedGrantsUntil(), sentAt+shards.DefaultOptions().MaxCommandDelay; until != want {
 		t.Fatalf("late grants possible until %v, want %v", until, want)
 	}
 }
@@ -110,7 +110,7 @@
 	if r := stored.Ranges[0]; r.Fence <= 1<<20 || !r.Inherited {
 		t.Fatalf("the first map of the second manager has fence %d, inherited: %v", r.Fence, r.Inherited)
 	}
-	second.AuthorsOver(0, never)
+	second.RemoveStoppedAuthors(0, never)
 	accept := func(core *shards.Manager, now time.Duration) {
 		for _, grant := range core.Tick(now).Grants {
 			core.GrantDone(now, shards.GrantResult{Grant: grant, SentAt: now, Outcome: shards.Accepted})
@@ -123,7 +123,7 @@
 	for now := 2 * step; now < time.Second; now += step {
 		if commands := second.Tick(now); commands.Commit != nil {
 			stored = commands.Commit.Map
-			second.Committed(now)
+			second.CommitDone(now)
 			later = now
 		}
 	}
@@ -136,7 +136,7 @@
 		t.Error("the second manager waits for the first one")
 	}
 	third := takeOver(stored, author("p3", 3), 0)
-	third.AuthorsOver(0, func(a shards.Author) bool { return a.Process == "p2" })
+	third.RemoveStoppedAuthors(0, func(a shards.Author) bool { return a.Process == "p2" })
 	commitFirstMap(t, third, 0)
 	if !movedWithin(third, step, oneLease) {
 		t.Error("the third manager waits for the first one")
@@ -149,7 +149,7 @@
 	second := takeOver(firstMap(), author("p2", 2), 0)
 	stored := commitFirstMap(t, second, 0)
 	third := takeOver(stored, author("p3", 3), 0)
-	third.AuthorsOver(0, func(a shards.Author) bool { return a.Process == "p2" })
+	third.RemoveStoppedAuthors(0, func(a shards.Author) bool { return a.Process == "p2" })
 	commitFirstMap(t, third, 0)
 	if movedWithin(third, step, 20*time.Second) {
 		t.Error("a range moved although the first manager may still renew it")
--- a/internal/shards/reduced_test.go
+++ b/internal/shards/reduced_test.go
@@ -30,7 +30,7 @@
 func newReducedRun(draw func() []uint32) *reducedRun {
 	r := &reducedRun{harness: newHarness(reducedOf, reducedOf, reducedOf), server: "a", draw: draw}
 	r.run(8*time.Second, func() { r.core.RecordLoad(r.now, r.draw(), 1) })
-	r.servers[0].Capacity, r.servers[0].Reduced = reducedCapacity, true
+	r.servers[0].Capacity, r.servers[0].ReducedCapacity = reducedCapacity, true
 	r.lastRequest = r.now
 	return r
 }
@@ -126,9 +126,9 @@
 	load := func() { b.core.RecordLoad(b.now, usual.draw(perStep), 1) }
 	b.run(8*time.Second, load)
 	capacity := b.servers[0].Capacity
-	b.servers[0].Capacity, b.servers[0].Reduced = reducedCapacity, true
+	b.servers[0].Capacity, b.servers[0].ReducedCapacity = reducedCapacity, true
 	b.run(20*time.Second, load)
-	b.servers[0].Capacity, b.servers[0].Reduced = capacity, false
+	b.servers[0].Capacity, b.servers[0].ReducedCapacity = capacity, false
 	b.run(recovery, load)
 	before := b.stored
 	got, all := 0, 0
--- a/internal/shards/renew.go
+++ b/internal/shards/renew.go
@@ -13,8 +13,8 @@
 
 // renewInterval returns the interval between two renewals of a grant.
 func (m *Manager) renewInterval() time.Duration {
-	longest := time.Duration(maxRenewFraction * float64(m.options.Hold))
-	return max(m.options.Renew, min(longest, renewIntervalPerRange*time.Duration(len(m.shards))))
+	longest := time.Duration(maxRenewFraction * float64(m.options.Lease))
+	return max(m.options.RenewInterval, min(longest, renewIntervalPerRange*time.Duration(len(m.shards))))
 }
 
 // renew grants owned ranges whose renewal is due. Ranges that are being released are not
@@ -34,6 +34,6 @@
 		}
 		s.grantsInFlight++
 		s.renewAt = now + interval
-		commands.Grants = append(commands.Grants, Grant{Range: s.Range, Hold: m.options.Hold})
+		commands.Grants = append(commands.Grants, Grant{Range: s.Range, Lease: m.options.Lease})
 	}
 }
--- a/internal/shards/restore_test.go
+++ b/internal/shards/restore_test.go
@@ -36,7 +36,7 @@
 		o.pendingWrite = commands.Commit.Map
 	} else if commands.Commit != nil {
 		o.stored = commands.Commit.Map
-		o.core.Committed(o.now)
+		o.core.CommitDone(o.now)
 	}
 	return commands.Releases
 }
@@ -103,7 +103,7 @@
 	}
 	o.stored = o.pendingWrite
 	o.core.SetStoreHealthy(true)
-	o.core.Committed(o.now)
+	o.core.CommitDone(o.now)
 	for range 20 {
 		for _, release := range o.tick(false) {
 			o.core.ReleaseDone(shards.ReleaseResult{Release: release, Outcome: shards.Accepted, Handover: "h"})
--- a/internal/shards/results.go
+++ b/internal/shards/results.go
@@ -41,7 +41,7 @@
 		if s.phase == owned && m.storeHealthy && !m.frozen {
 			m.startRelease(s, now, s.Owner, Move{Reason: UnfinishedRelease})
 		}
-	case Broken:
+	case ConnectionLost:
 		s.leaseUntil = max(s.leaseUntil, now+m.maxLease())
 	case NotSent:
 	}
--- a/internal/shards/simulation_restore_test.go
+++ b/internal/shards/simulation_restore_test.go
@@ -36,7 +36,7 @@
 
 func quickOptions() shards.Options {
 	options := shards.DefaultOptions()
-	options.PreviousAuthority, options.MaxCommandDelay = quickAuthority+time.Second, quickMaxDelay+time.Second
+	options.PredecessorRenewal, options.MaxCommandDelay = quickAuthority+time.Second, quickMaxDelay+time.Second
 	return options
 }
 
@@ -74,7 +74,7 @@
 		return
 	}
 	w.store(manager, manager.core.Map(w.now))
-	manager.core.Installed(w.now)
+	manager.core.InitialMapCommitted(w.now)
 }
 
 // restoreStore restores the store with the configured probability. The manager at that time
--- a/internal/shards/simulation_test.go
+++ b/internal/shards/simulation_test.go
@@ -189,7 +189,7 @@
 func (w *simulation) retire() {
 	var kept []*simManager
 	for _, manager := range w.retiring {
-		if w.now <= manager.core.LateOrdersUntil() {
+		if w.now <= manager.core.DelayedGrantsUntil() {
 			kept = append(kept, manager)
 			continue
 		}
@@ -211,7 +211,7 @@
 	}
 	manager.core.SetServers(servers, w.knownDead())
 	if manager == w.lockHolder() {
-		manager.core.AuthorsOver(w.now, func(author shards.Author) bool {
+		manager.core.RemoveStoppedAuthors(w.now, func(author shards.Author) bool {
 			return w.ended[author.Process] || author.Process == manager.process
 		})
 	}
@@ -237,7 +237,7 @@
 	manager.results = append(manager.results, func() {
 		// A manager that has lost the store may never learn that its commit succeeded.
 		if manager.storeLostAt == 0 || !answerLost {
-			manager.core.Committed(w.now)
+			manager.core.CommitDone(w.now)
 		}
 	})
 }
@@ -257,7 +257,7 @@
 	outcome := shards.Accepted
 	switch {
 	case !target.up, !target.reachable:
-		outcome = shards.Broken
+		outcome = shards.ConnectionLost
 		// The server is unreachable in one direction only: it gets the command, but its response
 		// is lost.
 		if target.up && w.chance(20) {
@@ -311,7 +311,7 @@
 		w.highestFences[index][server.id] = grant.Fence
 		server.seenFences[index] = grant.Fence
 		const slowClock = 1.02
-		server.leases[index] = lease{fence: grant.Fence, expires: w.now + time.Duration(float64(grant.Hold)*slowClock)}
+		server.leases[index] = lease{fence: grant.Fence, expires: w.now + time.Duration(float64(grant.Lease)*slowClock)}
 	}
 	return true
 }
@@ -391,7 +391,7 @@
 	weaken := map[string]func(*shards.Options){
 		"late orders are not waited for": func(o *shards.Options) { o.MaxCommandDelay = 0 },
 		"earlier managers are not waited for": func(o *shards.Options) {
-			o.PreviousAuthority = 0
+			o.PredecessorRenewal = 0
 			o.MaxCommandDelay = time.Second
 		},
 		"server clocks are taken to be fast": func(o *shards.Options) { o.ClockDrift = 0.8 },
