--- a/internal/dispatch/coldprobes.go
+++ b/internal/dispatch/coldprobes.go
@@ -117,7 +117,7 @@
 // warming up. The caller holds the mutex.
 func (d *Dispatcher) maySendCold(current *view.View, seen *view.Server) bool {
 	warmUp, bounded := d.boundedWarmUp(current, seen)
-	return bounded && d.rights.Sender(warmUp)
+	return bounded && d.permits.IsSender(warmUp)
 }
 
 // probeColdServers probes the servers that are due. If all probe slots are taken, the
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -97,9 +97,9 @@
 	nodes   int
 	// zone lists the nodes of this node's zone.
 	zone []homes.Node
-	// rights decides whether this node may send to a server that is warming up. copyAge
+	// permits decides whether this node may send to a server that is warming up. copyAge
 	// reports the age of this node's copy of the store.
-	rights  *warmup.Rights
+	permits *warmup.Permits
 	copyAge CopyAge
 	// onColdFound notifies the other nodes that a probe found a server warming up.
 	onColdFound ColdServerFunc
@@ -155,7 +155,7 @@
 		cold:             make(map[string]*coldRanges),
 		sizes:            make(map[string]float64),
 		nodes:            1,
-		rights:           warmup.NewRights(options.Node),
+		permits:          warmup.NewPermits(options.Node),
 		copyAge:          func() (time.Duration, bool) { return 0, true },
 		ending:           ending.New(),
 
@@ -195,7 +195,7 @@
 		for _, b := range d.budgets {
 			b.share(d.options, d.nodes)
 		}
-		d.rights.SetNodes(now, registeredNodes(current))
+		d.permits.SetNodes(now, registeredNodes(current))
 	}
 	if !published.Unchanged.Nodes || !published.Unchanged.Table {
 		d.updateServiceConfig(now, current)
--- a/internal/dispatch/homeassignment.go
+++ b/internal/dispatch/homeassignment.go
@@ -71,7 +71,7 @@
 
 // assign determines a server's home among the chosen ones and records it.
 func (v *homeAssignment) assign(now time.Time, s *server, options Options) {
-	home := homes.Among(homes.Server{ID: s.id, Zone: s.Zone}, v.homes)
+	home := homes.PickHome(homes.Server{ID: s.id, Zone: s.Zone}, v.homes)
 	s.homeName = home.Name
 	if v.groups == nil {
 		v.groups = make(map[string]map[discovery.ServerID]*server)
--- a/internal/dispatch/services.go
+++ b/internal/dispatch/services.go
@@ -236,7 +236,7 @@
 	delete(d.servers, s.id)
 	delete(d.lapsed, s.id)
 	delete(d.pooled, s.id)
-	d.rights.Forget(string(s.id))
+	d.permits.Forget(string(s.id))
 	if s.pool != nil {
 		s.pool.Close()
 	}
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -57,7 +57,7 @@
 		return true, false
 	}
 	age, known := d.copyAge()
-	return d.rights.May(now, server, warmup.Copy{Age: age, Known: known}), true
+	return d.permits.MaySend(now, server, warmup.CopyState{Age: age, Confirmed: known}), true
 }
 
 // reserve reserves a slot at a server for a request that is about to be sent. The caller
@@ -66,7 +66,7 @@
 	s.outstanding++
 	d.ensurePool(s)
 	if server, warmingUp := d.warming(now, d.views.Current(), s); warmingUp {
-		d.rights.Sent(now, server)
+		d.permits.RecordSent(now, server)
 	}
 }
 
--- a/internal/dispatch/warming_test.go
+++ b/internal/dispatch/warming_test.go
@@ -177,8 +177,8 @@
 	w.put("evacuated/z", "")
 	// Its servers may have turned cold, which their registrations may report only later.
 	now = time.Now()
-	w.rights.SetNodes(now.Add(-time.Minute), nil)
-	w.rights.SetNodes(now.Add(-time.Minute), registeredNodes(w.builder.Current()))
+	w.permits.SetNodes(now.Add(-time.Minute), nil)
+	w.permits.SetNodes(now.Add(-time.Minute), registeredNodes(w.builder.Current()))
 	count := 0
 	for end := now.Add(time.Second); now.Before(end); now = now.Add(5 * time.Millisecond) {
 		if w.chooseID(now, "plain") == "s0" {
--- a/internal/handoff/sender.go
+++ b/internal/handoff/sender.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Follow updates the set of nodes from a new view.
-func (s *Sender) Follow(current *view.View) {
+// SetView updates the set of nodes from a new view.
+func (s *Sender) SetView(current *view.View) {
 	if current.Unchanged.Nodes {
 		return
 	}
--- a/internal/homes/assignment.go
+++ b/internal/homes/assignment.go
@@ -35,9 +35,9 @@
 	return chosen
 }
 
-// Among returns which of the chosen home nodes in its zone a server of an unsharded service
+// PickHome returns which of the chosen home nodes in its zone a server of an unsharded service
 // is assigned to. chosen must not be empty.
-func Among(server Server, chosen []Node) Node { return highest(server, chosen, 1)[0] }
+func PickHome(server Server, chosen []Node) Node { return highest(server, chosen, 1)[0] }
 
 // largestFirst returns the nodes of a server's zone ordered by rank, with the nodes that
 // have a large share before the others.
--- a/internal/homes/assignment_test.go
+++ b/internal/homes/assignment_test.go
@@ -25,7 +25,7 @@
 		return assigned
 	}
 	for _, id := range servers {
-		home := Among(Server{ID: id, Zone: zone}, assigned.Homes)
+		home := PickHome(Server{ID: id, Zone: zone}, assigned.Homes)
 		assigned.Servers[home.Name] = append(assigned.Servers[home.Name], id)
 	}
 	return assigned
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -171,7 +171,7 @@
 		return
 	}
 	sender := handoff.NewSender(n.settings.Node, client, n.logger)
-	n.views.Subscribe(sender.Follow)
+	n.views.Subscribe(sender.SetView)
 	n.dispatcher.SetHandoffSender(sender)
 	n.peers.home = handoff.NewHome(n.views, n.dispatcher, n.logger)
 }
--- a/internal/router/scale_test.go
+++ b/internal/router/scale_test.go
@@ -73,7 +73,7 @@
 	changes := newChangeFeed(self, nil, zap.NewNop())
 	f.views.Subscribe(changes.updateMembers)
 	sender := handoff.NewSender(self.Name, transport.NewClient(&wire.Hello{}, nil), zap.NewNop())
-	f.views.Subscribe(sender.Follow)
+	f.views.Subscribe(sender.SetView)
 	dispatcher.SetHandoffSender(sender)
 	f.items = fleetItems(tb, size)
 	f.revision = int64(len(f.items)) + 1
--- a/internal/warmup/simulation_test.go
+++ b/internal/warmup/simulation_test.go
@@ -44,7 +44,7 @@
 // simulatedNode is a node with its copy of the store.
 type simulatedNode struct {
 	Node
-	permits *Rights
+	permits *Permits
 	// up, frozen and cut are the fault state of the node. A node that is cut off receives no
 	// updates and renews no registration, but still reaches the servers.
 	up, frozen, cut bool
@@ -86,7 +86,7 @@
 
 // start starts a new process of a node.
 func (s *simulation) start(now time.Time, n *simulatedNode) {
-	n.permits = NewRights(n.Name)
+	n.permits = NewPermits(n.Name)
 	n.up, n.frozen = true, false
 	n.known = -1
 	n.copiedAt = time.Time{}
@@ -179,15 +179,15 @@
 }
 
 func (s *simulation) send(now time.Time, n *simulatedNode) {
-	copied := Copy{Age: now.Sub(n.copiedAt), Known: !n.copiedAt.IsZero()}
+	copied := CopyState{Age: now.Sub(n.copiedAt), Confirmed: !n.copiedAt.IsZero()}
 	if s.disabled == ignoreCopyAge {
 		copied.Age = 0
 	}
 	if s.disabled == skipSettling && !n.permits.registeredAt.IsZero() {
 		n.permits.registeredAt = now.Add(-settleTime)
 	}
-	if n.permits.May(now, s.server, copied) {
-		n.permits.Sent(now, s.server)
+	if n.permits.MaySend(now, s.server, copied) {
+		n.permits.RecordSent(now, s.server)
 		s.arrived = append(s.arrived, now)
 	}
 }
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -47,7 +47,7 @@
 // Rate is the request rate that the warming servers of a service can handle.
 type Rate struct {
 	// PerSecond is the target number of requests a second for a warming server. 0 means
-	// unlimited: callers must not consult Rights then, which would deny every request.
+	// unlimited: callers must not consult Permits then, which would deny every request.
 	PerSecond float64
 	// Limit is the maximum number of requests within a second that the server can handle.
 	Limit float64
@@ -93,17 +93,17 @@
 	Rate     Rate
 }
 
-// Copy describes how recent a node's copy of the store is.
-type Copy struct {
+// CopyState describes how recent a node's copy of the store is.
+type CopyState struct {
 	// Age is the time since the copy was last confirmed to be up to date.
 	Age time.Duration
-	// Known is false if the copy was never confirmed.
-	Known bool
+	// Confirmed is false if the copy was never confirmed.
+	Confirmed bool
 }
 
-// Rights tracks which warming servers a node may send to, and when. It is not safe for
+// Permits tracks which warming servers a node may send to, and when. It is not safe for
 // concurrent use.
-type Rights struct {
+type Permits struct {
 	self  string
 	nodes []Node
 	// nodesVersion counts the replacements of nodes.
@@ -123,13 +123,13 @@
 	nextAt time.Time
 }
 
-// NewRights returns the state of a node that is not registered yet.
-func NewRights(self string) *Rights {
-	return &Rights{self: self, servers: make(map[string]*permit)}
+// NewPermits returns the state of a node that is not registered yet.
+func NewPermits(self string) *Permits {
+	return &Permits{self: self, servers: make(map[string]*permit)}
 }
 
 // SetNodes replaces the set of registered nodes.
-func (r *Rights) SetNodes(now time.Time, nodes []Node) {
+func (r *Permits) SetNodes(now time.Time, nodes []Node) {
 	r.nodes = nodes
 	r.nodesVersion++
 	registered := slices.ContainsFunc(nodes, func(n Node) bool { return n.Name == r.self })
@@ -142,14 +142,14 @@
 }
 
 // Forget drops the state of a server that is warm or gone.
-func (r *Rights) Forget(server string) { delete(r.servers, server) }
+func (r *Permits) Forget(server string) { delete(r.servers, server) }
 
-// May reports whether this node may send a request to a warming server now.
-func (r *Rights) May(now time.Time, server Server, copied Copy) bool {
+// MaySend reports whether this node may send a request to a warming server now.
+func (r *Permits) MaySend(now time.Time, server Server, copied CopyState) bool {
 	if _, any := server.Rate.interval(); !any {
 		return false
 	}
-	if !copied.Known || copied.Age > maxCopyAge {
+	if !copied.Confirmed || copied.Age > maxCopyAge {
 		return false
 	}
 	if r.registeredAt.IsZero() || now.Sub(r.registeredAt) < settleTime {
@@ -159,17 +159,17 @@
 	return current.sender && !now.Before(current.nextAt)
 }
 
-// Sender reports whether this node is one of a server's senders, regardless of the age of
+// IsSender reports whether this node is one of a server's senders, regardless of the age of
 // its copy of the store.
-func (r *Rights) Sender(server Server) bool { return r.permitFor(server).sender }
+func (r *Permits) IsSender(server Server) bool { return r.permitFor(server).sender }
 
-// Sent records that a request is being sent to a warming server.
-func (r *Rights) Sent(now time.Time, server Server) {
+// RecordSent records that a request is being sent to a warming server.
+func (r *Permits) RecordSent(now time.Time, server Server) {
 	interval, _ := server.Rate.interval()
 	r.permitFor(server).nextAt = now.Add(interval)
 }
 
-func (r *Rights) permitFor(server Server) *permit {
+func (r *Permits) permitFor(server Server) *permit {
 	current := r.servers[server.ID]
 	if current == nil {
 		current = &permit{}
@@ -184,7 +184,7 @@
 
 // senders returns the nodes that may send to a server: nodes of the server's zone if there
 // are any, because transferring bodies between zones is expensive.
-func (r *Rights) senders(server Server) []string {
+func (r *Permits) senders(server Server) []string {
 	var inZone, all []string
 	for _, node := range r.nodes {
 		all = append(all, node.Name)
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -22,18 +22,18 @@
 	return nodes
 }
 
-var fresh = Copy{Known: true}
+var fresh = CopyState{Confirmed: true}
 
 func TestTwoNodesOfTheZoneShareTheRate(t *testing.T) {
 	nodes := nodesOf(3, 20)
 	server := Server{ID: "s1", Zone: "z1", Rate: gatewayRate}
 	sent := make(map[string]int)
 	for _, node := range nodes {
-		permits := NewRights(node.Name)
+		permits := NewPermits(node.Name)
 		permits.SetNodes(epoch, nodes)
 		for now := epoch.Add(settleTime); now.Before(epoch.Add(settleTime + 10*time.Second)); now = now.Add(10 * time.Millisecond) {
-			if permits.May(now, server, fresh) {
-				permits.Sent(now, server)
+			if permits.MaySend(now, server, fresh) {
+				permits.RecordSent(now, server)
 				sent[node.Name]++
 				if node.Zone != "z1" {
 					t.Fatalf("%s of %s sends to a server of z1", node.Name, node.Zone)
@@ -58,22 +58,22 @@
 		name   string
 		nodes  []Node
 		at     time.Time
-		copied Copy
+		copied CopyState
 		server Server
 		want   bool
 	}{
 		{"all conditions hold", nodes, settled, fresh, server, true},
 		{"the node has just registered", nodes, settled.Add(-time.Millisecond), fresh, server, false},
 		{"the node is not registered", []Node{{Name: "b", Zone: "z"}}, settled, fresh, server, false},
-		{"the copy is old", nodes, settled, Copy{Age: maxCopyAge + 1, Known: true}, server, false},
-		{"the copy was never confirmed", nodes, settled, Copy{}, server, false},
+		{"the copy is old", nodes, settled, CopyState{Age: maxCopyAge + 1, Confirmed: true}, server, false},
+		{"the copy was never confirmed", nodes, settled, CopyState{}, server, false},
 		{"the server has no rate", nodes, settled, fresh, Server{ID: "s1", Zone: "z"}, false},
 		{"no node of the zone is left", nodes, settled, fresh, Server{ID: "s1", Zone: "other", Rate: gatewayRate}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			permits := NewRights("a")
+			permits := NewPermits("a")
 			permits.SetNodes(epoch, test.nodes)
-			if got := permits.May(test.at, test.server, test.copied); got != test.want {
+			if got := permits.MaySend(test.at, test.server, test.copied); got != test.want {
 				t.Errorf("may send: %v, want %v", got, test.want)
 			}
 		})
@@ -81,13 +81,13 @@
 }
 
 func TestNodeThatIsRegisteredAgainSettlesAgain(t *testing.T) {
-	permits := NewRights("a")
+	permits := NewPermits("a")
 	nodes := []Node{{Name: "a", Zone: "z"}}
 	server := Server{ID: "s1", Zone: "z", Rate: gatewayRate}
 	permits.SetNodes(epoch, nodes)
 	permits.SetNodes(epoch.Add(5*time.Second), nil)
 	permits.SetNodes(epoch.Add(6*time.Second), nodes)
-	if permits.May(epoch.Add(6*time.Second), server, fresh) {
+	if permits.MaySend(epoch.Add(6*time.Second), server, fresh) {
 		t.Error("a node that has just registered again may send")
 	}
 }
@@ -95,14 +95,14 @@
 // A change of the registered nodes must not let a sender send again before its interval has
 // passed.
 func TestIntervalOutlastsOtherRegistrations(t *testing.T) {
-	permits := NewRights("a")
+	permits := NewPermits("a")
 	nodes := []Node{{Name: "a", Zone: "z"}}
 	server := Server{ID: "s1", Zone: "z", Rate: gatewayRate}
 	permits.SetNodes(epoch, nodes)
 	now := epoch.Add(settleTime)
-	permits.Sent(now, server)
+	permits.RecordSent(now, server)
 	permits.SetNodes(now, append(nodes, Node{Name: "b", Zone: "z"}))
-	if permits.May(now.Add(10*time.Millisecond), server, fresh) {
+	if permits.MaySend(now.Add(10*time.Millisecond), server, fresh) {
 		t.Error("a second request was permitted within 10 ms")
 	}
 }
