--- a/internal/soak/addresses.go
+++ b/internal/soak/addresses.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// lowestPort and highestPort bound the ports of nodes. They are below those that
-	// Linux gives to outgoing connections (from 32768), one of which could otherwise
-	// have a node's port while the node is being started again.
+	// lowestPort and highestPort bound the ports of nodes. They are below the ephemeral
+	// port range of Linux (from 32768), so that no outgoing connection can occupy a node's
+	// port while the node is restarted.
 	lowestPort, highestPort = 15000, 32000
 	portAttempts            = 100
 )
 
-// reservedPorts are those that nodes of this process have or are to have.
+// reservedPorts are the ports assigned to nodes of this process.
 var reservedPorts = struct {
 	sync.Mutex
 	taken map[int]bool
 }{taken: make(map[int]bool)}
 
-// nodesHost is the loopback address of this process's nodes, so that soaks which run
-// at the same time do not have each other's ports.
+// nodesHost returns the loopback address for this process's nodes. It is derived from the
+// process ID, so that the ports of concurrent soak runs do not collide.
 func nodesHost() string {
 	const (
-		// Linux takes every address from 127.0.0.0 to 127.255.255.255 for the machine.
+		// Linux treats all of 127.0.0.0 to 127.255.255.255 as loopback.
 		perByte    = 256
 		firstBlock = 1
 	)
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("127.%d.%d.1", firstBlock+process/perByte%(perByte-firstBlock), process%perByte)
 }
 
-// freeAddress reserves an address on the loopback interface that nobody uses.
+// freeAddress reserves an unused address on the loopback interface.
 func freeAddress() (string, error) {
 	reservedPorts.Lock()
 	defer reservedPorts.Unlock()
@@ -53,7 +53,7 @@
 		}
 		reservedPorts.taken[port] = true
 		address := listener.Addr().String()
-		return address, errors.Wrap(listener.Close(), "give the port back")
+		return address, errors.Wrap(listener.Close(), "close port probe")
 	}
 	return "", errors.Wrap(failed, "find a free port")
 }
--- a/internal/soak/addresses_test.go
+++ b/internal/soak/addresses_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Seen with 150 nodes: two of them had the same port, and one did not start.
+// With 150 nodes, two were assigned the same port and one did not start.
 func TestNoAddressIsGivenTwice(t *testing.T) {
 	const count = 600
 	given := make(map[string]bool)
@@ -12,7 +12,7 @@
 			t.Fatal(err)
 		}
 		if given[address] {
-			t.Fatalf("%s was given twice", address)
+			t.Fatalf("address %s was assigned twice", address)
 		}
 		given[address] = true
 	}
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -10,73 +10,73 @@
 )
 
 const (
-	// configBound is within what time a configuration must be in force, and
-	// drainBound within what time a leaving server must get no more requests. The
-	// slack is what a busy machine may add to what is seen from outside.
+	// configBound is the time within which a configuration must take effect, and drainBound
+	// the time after which a draining server must receive no more requests. observationSlack
+	// is the delay that a busy machine may add to outside observations.
 	configBound = 2 * time.Second
 	drainBound  = 2 * time.Second
-	// evacuationBound is within what time an evacuated zone must get no more requests.
+	// evacuationBound is the time after which an evacuated zone must receive no more requests.
 	evacuationBound = 3 * time.Second
-	// coldNotice is how long after it turned cold a server may be taken for warm: its
-	// entry has to reach the nodes.
-	coldNotice = 700 * time.Millisecond
-	seenSlack  = 300 * time.Millisecond
-	watchPause = 100 * time.Millisecond
-	// overlapLimit is for how long two servers may both hold a key.
+	// coldPropagation is how long a server that starts warming up may still be treated as
+	// warm, since its entry has to reach the nodes first.
+	coldPropagation  = 700 * time.Millisecond
+	observationSlack = 300 * time.Millisecond
+	checkInterval    = 100 * time.Millisecond
+	// overlapLimit is how long two servers may both be seen holding a key.
 	overlapLimit = 500 * time.Millisecond
 )
 
-// checkOutcome checks one request when everything is over.
+// checkOutcome checks one request at the end of the run.
 func (s *soak) checkOutcome(seen outcome) {
 	runs := s.world.ledger.Runs(seen.id)
 	if !seen.repeatable && len(runs) > 1 {
-		s.breach("order %s ran at %s", seen.id, strings.Join(runs, ", "))
+		s.recordViolation("non-repeatable request %s was executed more than once, by %s", seen.id, strings.Join(runs, ", "))
 	}
-	if !seen.repeatable && promises[seen.status] && len(runs) > 0 {
-		s.breach("order %s was refused with %d and ran at %s", seen.id, seen.status, strings.Join(runs, ", "))
+	if !seen.repeatable && notExecutedStatuses[seen.status] && len(runs) > 0 {
+		s.recordViolation("non-repeatable request %s was refused with %d but executed by %s", seen.id, seen.status, strings.Join(runs, ", "))
 	}
 	if seen.broken != "" {
-		s.breach("request %s: %s", seen.id, seen.broken)
+		s.recordViolation("request %s: %s", seen.id, seen.broken)
 	}
 	if seen.status == http.StatusNotFound {
-		s.breach("request %s was answered with 404", seen.id)
+		s.recordViolation("request %s got status 404", seen.id)
 	}
 }
 
-// watch checks what has a time bound while the soak runs.
+// watch checks the guarantees with a time bound while the soak runs.
 func (s *soak) watch(ctx context.Context) {
 	overlaps := make(map[int]time.Time)
-	endsTold := make(map[*Node]int)
+	reportedExits := make(map[*Node]int)
 	client := &http.Client{Timeout: time.Second}
 	for turn := 0; ctx.Err() == nil; turn++ {
-		s.needs.look(time.Now(), s.allInTouch())
+		s.signals.observe(time.Now(), s.allUndisturbed())
 		s.checkDrained()
 		s.checkOwners(overlaps)
-		s.checkEnds(endsTold)
+		s.checkExits(reportedExits)
 		if turn%3 == 0 {
 			s.checkConfiguration(client)
 		}
-		time.Sleep(watchPause)
+		time.Sleep(checkInterval)
 	}
 }
 
-// checkDrained looks for requests that reached a leaving server too late. Only
-// those sent by nodes that are in touch count.
+// checkDrained looks for requests that reached a draining server too late. Only requests
+// sent by undisturbed nodes count.
 func (s *soak) checkDrained() {
-	left := s.world.leftAt()
+	drainStarts := s.world.drainingSince()
 	stable := s.world.storeStable()
 	for _, arrival := range s.world.ledger.TakeArrivals() {
 		s.checkCold(arrival)
-		s.checkNeeds(arrival)
+		s.checkBackpressure(arrival)
 		if stable {
 			s.checkEvacuated(arrival)
 		}
-		at, leaving := left[arrival.Server]
-		if !leaving || arrival.At.Sub(at) < drainBound+seenSlack || !stable {
+		at, draining := drainStarts[arrival.Server]
+		if !draining || arrival.At.Sub(at) < drainBound+observationSlack || !stable {
 			continue
 		}
-		if n := s.nodeOf(arrival.Request); n != nil && n.InTouch() {
-			s.breach("request %s reached %s %v after it began to leave", arrival.Request, arrival.Server, arrival.At.Sub(at))
+		if n := s.nodeOf(arrival.Request); n != nil && n.Undisturbed() {
+			s.recordViolation("request %s reached server %s %v after it began draining", arrival.Request, arrival.Server, arrival.At.Sub(at))
 		}
 	}
 }
@@ -88,33 +88,33 @@
 		return
 	}
 	since := s.world.evacuatedSince(at, arrival.At)
-	if since.IsZero() || arrival.At.Sub(since) < evacuationBound+seenSlack {
+	if since.IsZero() || arrival.At.Sub(since) < evacuationBound+observationSlack {
 		return
 	}
-	if n := s.nodeOf(arrival.Request); n != nil && n.InTouch() {
-		s.breach("request %s reached %s %v after zone %s was evacuated", arrival.Request, arrival.Server, arrival.At.Sub(since), at.Zone)
+	if n := s.nodeOf(arrival.Request); n != nil && n.Undisturbed() {
+		s.recordViolation("request %s reached server %s %v after the evacuation of zone %s", arrival.Request, arrival.Server, arrival.At.Sub(since), at.Zone)
 	}
 }
 
-// checkCold looks for cold servers that get more requests within a second than they bear,
-// from all nodes, in touch or not.
+// checkCold looks for servers that are warming up and receive more requests within a second
+// than their warm-up rate allows, summed over all nodes, disturbed ones included.
 func (s *soak) checkCold(arrival standin.Arrival) {
 	at := s.world.server(arrival.Server)
 	if at == nil || !s.world.coldAt(at, arrival.At) || len(s.world.ledger.Runs(arrival.Request)) == 0 {
 		return
 	}
-	const most = standin.WarmUpRate*standin.WarmUpOver + standin.WarmUpSlack
-	if count := s.cold.add(arrival); float64(count) > most {
-		s.breach("cold server %s got %d requests within a second, %g allowed", arrival.Server, count, most)
+	const allowed = standin.WarmUpRate*standin.WarmUpOver + standin.WarmUpSlack
+	if count := s.coldArrivals.add(arrival); float64(count) > allowed {
+		s.recordViolation("warming-up server %s received %d requests within a second, %g allowed", arrival.Server, count, allowed)
 	}
 }
 
-// lastSecond counts what reached each server within the last second.
-type lastSecond map[string][]time.Time
+// arrivalWindow counts the requests that reached each server within the last second.
+type arrivalWindow map[string][]time.Time
 
-// add takes in an arrival and returns how many there were at its server within a second.
-// Arrivals come in the order of their times.
-func (l lastSecond) add(arrival standin.Arrival) int {
+// add records an arrival and returns the number of arrivals at its server within the last
+// second. Arrivals must be added in order of time.
+func (l arrivalWindow) add(arrival standin.Arrival) int {
 	times := append(l[arrival.Server], arrival.At)
 	for arrival.At.Sub(times[0]) >= time.Second {
 		times = times[1:]
@@ -123,7 +123,7 @@
 	return len(times)
 }
 
-// nodeOf returns the node that a request was sent to; its name begins the id.
+// nodeOf returns the node that a request was sent to; the request ID begins with its name.
 func (s *soak) nodeOf(request string) *Node {
 	name, _, _ := strings.Cut(request, "-")
 	for _, n := range s.nodes {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// checkOwners looks for keys that two servers hold at the same time.
+// checkOwners looks for keys held by two servers for longer than overlapLimit.
 func (s *soak) checkOwners(overlaps map[int]time.Time) {
 	servers := s.world.ledger.Servers()
 	for index := range keyCount {
@@ -155,49 +155,50 @@
 			continue
 		}
 		if time.Since(since) > overlapLimit {
-			s.breach("key %d is held by %s", key, strings.Join(holders, " and "))
+			s.recordViolation("key %d is held by several servers at once: %s", key, strings.Join(holders, " and "))
 			overlaps[key] = time.Now().Add(time.Hour)
 		}
 	}
 }
 
-// checkEnds looks for processes that ended by themselves. told holds how many
-// processes of a node had been started when it was last told of.
-func (s *soak) checkEnds(told map[*Node]int) {
+// checkExits looks for processes that exited unexpectedly. reported holds each node's start
+// count at its last report, so that each exit is reported once.
+func (s *soak) checkExits(reported map[*Node]int) {
 	for _, n := range s.nodes {
 		starts := n.Starts()
-		if n.InTouch() && n.Ended() && told[n] != starts {
-			told[n] = starts
-			s.breach("%s ended by itself", n.Name)
+		if n.Undisturbed() && n.Ended() && reported[n] != starts {
+			reported[n] = starts
+			s.recordViolation("%s exited unexpectedly", n.Name)
 		}
 	}
 }
 
-// checkConfiguration asks every node that is in touch on the newest route and on
-// the one before it.
+// checkConfiguration sends requests to every undisturbed node on the newest route and on
+// the route that it replaced.
 func (s *soak) checkConfiguration(client *http.Client) {
 	version, acknowledged := s.world.configuration()
-	if time.Since(acknowledged) < configBound+seenSlack || !s.world.storeStable() {
+	if time.Since(acknowledged) < configBound+observationSlack || !s.world.storeStable() {
 		return
 	}
 	for _, n := range s.nodes {
-		if !n.InTouch() {
+		if !n.Undisturbed() {
 			continue
 		}
 		added, removed := s.status(client, n, version), s.status(client, n, version-1)
-		if current, _ := s.world.configuration(); current != version || !n.InTouch() || !s.world.storeStable() {
+		if current, _ := s.world.configuration(); current != version || !n.Undisturbed() || !s.world.storeStable() {
 			return
 		}
 		if added == http.StatusNotFound {
-			s.breach("%s answers 404 on the route of version %d, %v after it was acknowledged", n.Name, version, time.Since(acknowledged))
+			s.recordViolation("%s answers 404 on the route of version %d, %v after it was acknowledged", n.Name, version, time.Since(acknowledged))
 		}
 		if version > 1 && removed != http.StatusNotFound && removed != 0 {
-			s.breach("%s answers %d on a route that version %d removed %v ago", n.Name, removed, version, time.Since(acknowledged))
+			s.recordViolation("%s answers %d on a route that version %d removed %v ago", n.Name, removed, version, time.Since(acknowledged))
 		}
 	}
 }
 
-// status asks a node on the extra route of a version; 0 means no answer.
+// status requests the extra route of a version from a node and returns the status code, or
+// 0 without a response.
 func (s *soak) status(client *http.Client, n *Node, version int) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+n.Clients+extraPath(version)+"x", nil)
 	if err != nil {
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -9,18 +9,18 @@
 
 func TestRequestsWithinASecondAreCountedByServer(t *testing.T) {
 	start := time.Unix(1000, 0)
-	counts := make(lastSecond)
+	counts := make(arrivalWindow)
 	for index := range 10 {
 		arrival := standin.Arrival{Server: "s1", At: start.Add(time.Duration(index) * 100 * time.Millisecond)}
 		if got := counts.add(arrival); got != index+1 {
-			t.Errorf("%d requests after %d", got, index+1)
+			t.Errorf("%d requests in the window after arrival %d", got, index+1)
 		}
 	}
 	if got := counts.add(standin.Arrival{Server: "s2", At: start.Add(900 * time.Millisecond)}); got != 1 {
-		t.Errorf("%d requests at the other server, want 1", got)
+		t.Errorf("%d requests at the second server, want 1", got)
 	}
 	if got := counts.add(standin.Arrival{Server: "s1", At: start.Add(time.Second)}); got != 10 {
-		t.Errorf("%d requests, want 10: the first one is a second old", got)
+		t.Errorf("%d requests in the window, want 10: the first one is a second old", got)
 	}
 }
 
@@ -45,19 +45,19 @@
 	}
 }
 
-func TestCalmIsWhatAllNodesHadForLong(t *testing.T) {
+func TestUndisturbedTimeRequiresAllNodes(t *testing.T) {
 	start := time.Unix(1000, 0)
-	var watch needsWatch
-	watch.look(start, true)
-	watch.look(start.Add(time.Second), true)
-	if !watch.calmFor(start.Add(time.Second), contactTime+time.Second) {
-		t.Error("not calm, though nodes have been in touch for a second, which they are after a contact time")
+	var watch backpressureWatch
+	watch.observe(start, true)
+	watch.observe(start.Add(time.Second), true)
+	if !watch.undisturbedFor(start.Add(time.Second), settleTime+time.Second) {
+		t.Error("not undisturbed for settleTime plus a second, though the nodes reported it for a second")
 	}
-	if watch.calmFor(start.Add(time.Second), contactTime+2*time.Second) {
-		t.Error("calm for longer than it was")
+	if watch.undisturbedFor(start.Add(time.Second), settleTime+2*time.Second) {
+		t.Error("undisturbed for longer than observed")
 	}
-	watch.look(start.Add(2*time.Second), false)
-	if watch.calmFor(start.Add(3*time.Second), 0) {
-		t.Error("calm with a node that isn't in touch")
+	watch.observe(start.Add(2*time.Second), false)
+	if watch.undisturbedFor(start.Add(3*time.Second), 0) {
+		t.Error("undisturbed although a node was disturbed")
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -17,32 +17,34 @@
 	clientCount     = 12
 	clientPause     = 15 * time.Millisecond
 	requestDeadline = 2 * time.Second
-	// keyCount is how many keys clients ask for; they are spread over all keys.
-	keyCount  = 64
-	keySpread = 65536 / keyCount
-	orderPart = 0.4
+	// keyCount is the number of distinct keys that clients request, spaced evenly by
+	// keySpread over the key space.
+	keyCount   = 64
+	keySpread  = 65536 / keyCount
+	orderShare = 0.4
 )
 
-// promises are the statuses that say that a request has not run and never will.
-var promises = map[int]bool{
+// notExecutedStatuses are the statuses which guarantee that a request has not been executed
+// and never will be.
+var notExecutedStatuses = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// outcome is what a client saw of one request.
+// outcome is the result of one request as seen by its client.
 type outcome struct {
 	id         string
 	node       *Node
 	repeatable bool
 	status     int
-	// broken says what was wrong with an answer that looked like a success.
+	// broken describes why a response with status 200 was invalid; empty if it was valid.
 	broken string
-	// unjudged requests do not count where the share of served ones does: their
-	// client left, or did not send them whole.
-	unjudged bool
+	// excluded requests do not count towards the fraction of served requests, because the
+	// client disconnected or did not send them completely.
+	excluded bool
 }
 
-// clients send requests and remember what they saw.
+// clients sends requests concurrently and records their outcomes.
 type clients struct {
 	nodes []*Node
 	mutex sync.Mutex
@@ -50,7 +52,7 @@
 	seen  []outcome
 }
 
-// run sends requests until the context ends.
+// run sends requests until the context is done.
 func (c *clients) run(ctx context.Context, seed uint64) {
 	var group sync.WaitGroup
 	for index := range clientCount {
@@ -74,7 +76,7 @@
 	id := fmt.Sprintf("%s-%08x", node.Name, c.sent)
 	c.mutex.Unlock()
 	method, path, key, body := http.MethodGet, "/keys/x", random.IntN(keyCount)*keySpread, ""
-	if random.Float64() < orderPart {
+	if random.Float64() < orderShare {
 		method, path, key, body = http.MethodPost, "/orders/x", -1, "order "+id
 	}
 	request, err := http.NewRequest(method, "http://"+node.Clients+path, strings.NewReader(body))
@@ -85,26 +87,28 @@
 	seen := outcome{id: id, node: node, repeatable: method == http.MethodGet}
 	if response, err := client.Do(request); err == nil {
 		seen.status = response.StatusCode
-		seen.broken = judge(response, method, path, body)
+		seen.broken = readAndValidate(response, method, path, body)
 	}
 	c.mutex.Lock()
 	c.seen = append(c.seen, seen)
 	c.mutex.Unlock()
 }
 
-// judge reads an answer and says what is wrong with it if it looks like a success.
-func judge(response *http.Response, method, path, body string) string {
+// readAndValidate reads a response and describes why it is invalid if its status is 200.
+// It returns an empty string for all other responses.
+func readAndValidate(response *http.Response, method, path, body string) string {
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		// The client sees that it is not complete.
+		// The client can detect that the response is incomplete.
 		return ""
 	}
-	return wrongAnswer(response, content, method, path, body)
+	return validateResponse(response, content, method, path, body)
 }
 
-// wrongAnswer says what is wrong with a whole answer that looks like a success.
-func wrongAnswer(response *http.Response, content []byte, method, path, body string) string {
+// validateResponse describes why a complete response with status 200 is invalid. It returns
+// an empty string if it is valid or has another status.
+func validateResponse(response *http.Response, content []byte, method, path, body string) string {
 	if response.StatusCode != http.StatusOK {
 		return ""
 	}
@@ -113,12 +117,12 @@
 	case !standin.Signed(response):
 		return "success without a server's signature"
 	case !strings.HasSuffix(string(content), strings.TrimRight(request, " ")) && !strings.HasSuffix(string(content), request):
-		return fmt.Sprintf("body %q is not the answer to the request", content)
+		return fmt.Sprintf("body %q does not match the request", content)
 	}
 	return ""
 }
 
-// results returns what all clients saw.
+// results returns the outcomes recorded by all clients.
 func (c *clients) results() []outcome {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/soak/judge_test.go
+++ b/internal/soak/evidence_test.go
@@ -14,12 +14,12 @@
 	return testStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// closedRecord is a long read on a kept connection: sent 1.3 s after SIGTERM (at 10 s)
-// and closed without an answer at 0.9 of the grace.
+// closedRecord returns a long read on a reused connection: sent 1.3 s after SIGTERM (at 10 s)
+// and closed without a response at 0.9 of the grace period.
 func closedRecord() *record {
 	return &record{
 		id: "n1-c2-3", node: &Node{Name: "n1"}, class: longReads, connection: 4, position: 5,
-		connectedAt: at(9), beganAt: at(11.3), headSentAt: at(11.3), sentAt: at(11.3), endedAt: at(13.6), end: closed,
+		connectedAt: at(9), beganAt: at(11.3), headSentAt: at(11.3), sentAt: at(11.3), endedAt: at(13.6), end: connectionClosed,
 	}
 }
 
@@ -29,8 +29,8 @@
 	}
 }
 
-// with returns the events of a stop with another one among them.
-func with(kind nodeEventKind, seconds float64, detail string) []nodeEvent {
+// withEvent returns the events of a shutdown with one more event inserted in order of time.
+func withEvent(kind nodeEventKind, seconds float64, detail string) []nodeEvent {
 	var events []nodeEvent
 	added := nodeEvent{at: at(seconds), kind: kind, detail: detail}
 	for _, event := range stopEvents() {
@@ -58,7 +58,7 @@
 		}, true},
 		{"the same, and its answer had begun", func(r *record, _ *evidence) {
 			r.endedAt = at(11.45)
-			r.headArrived = true
+			r.headReceived = true
 		}, true},
 		{"sent 200 ms before the connection ended", func(r *record, _ *evidence) { r.endedAt = at(11.5) }, true},
 		{"the same while the soak stalled", func(r *record, known *evidence) {
@@ -67,21 +67,21 @@
 		}, false},
 		{"answered", func(r *record, _ *evidence) { r.end = answered }, false},
 		{"refused", func(r *record, _ *evidence) { r.end = refused }, false},
-		{"client left", func(r *record, _ *evidence) { r.end = left }, false},
+		{"client left", func(r *record, _ *evidence) { r.end = disconnected }, false},
 		{"client's time over", func(r *record, _ *evidence) { r.end = expired }, false},
 		{"not sent whole", func(r *record, _ *evidence) { r.end = notSent }, false},
 		{"route's time over", func(r *record, _ *evidence) {
 			r.headSentAt, r.sentAt = at(8.5), at(9)
 		}, false},
-		{"node killed", func(_ *record, known *evidence) { known.events = with(killSignal, 12, "") }, false},
-		{"earlier process killed", func(_ *record, known *evidence) { known.events = with(killSignal, -1, "") }, true},
-		{"node frozen before", func(_ *record, known *evidence) { known.events = with(freezeSignal, 5, "") }, false},
-		{"node cut off meanwhile", func(_ *record, known *evidence) { known.events = with(linkCut, 12, Silent.String()) }, false},
-		{"node cut off and healed before", func(_ *record, known *evidence) { known.events = with(linkCut, 5, Pass.String()) }, true},
+		{"node killed", func(_ *record, known *evidence) { known.events = withEvent(killSignal, 12, "") }, false},
+		{"earlier process killed", func(_ *record, known *evidence) { known.events = withEvent(killSignal, -1, "") }, true},
+		{"node frozen before", func(_ *record, known *evidence) { known.events = withEvent(freezeSignal, 5, "") }, false},
+		{"node cut off meanwhile", func(_ *record, known *evidence) { known.events = withEvent(linkChanged, 12, Silent.String()) }, false},
+		{"node cut off and healed before", func(_ *record, known *evidence) { known.events = withEvent(linkChanged, 5, Pass.String()) }, true},
 		{"server broke its answer off after the head", func(r *record, known *evidence) {
-			known.brokenOff, r.headArrived = true, true
+			known.responseTruncated, r.headReceived = true, true
 		}, false},
-		{"server broke its answer off, and no head came", func(_ *record, known *evidence) { known.brokenOff = true }, true},
+		{"server broke its answer off, and no head came", func(_ *record, known *evidence) { known.responseTruncated = true }, true},
 		{"not stopping at all", func(_ *record, known *evidence) { known.events = known.events[:1] }, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 	}{
 		{"long after SIGTERM", func(*record) {}, true},
 		{"a refusal", func(r *record) { r.end = refused }, true},
-		{"asks for another connection", func(r *record) { r.endsConnection = true }, false},
+		{"asks for another connection", func(r *record) { r.closesConnection = true }, false},
 		{"just after SIGTERM", func(r *record) { r.endedAt = at(10.4) }, false},
 		{"before SIGTERM", func(r *record) { r.endedAt = at(9.5) }, false},
 		{"no answer", func(r *record) { r.end = expired }, false},
@@ -111,8 +111,8 @@
 			r := closedRecord()
 			r.end = answered
 			test.change(r)
-			if keeps := r.keepsStopping(stopEvents()); keeps != test.keeps {
-				t.Errorf("keeps the connection: %v, want %v", keeps, test.keeps)
+			if keeps := r.keepsConnection(stopEvents()); keeps != test.keeps {
+				t.Errorf("connection kept open: %v, want %v", keeps, test.keeps)
 			}
 		})
 	}
@@ -142,7 +142,7 @@
 				late = late || one.late(grace)
 			}
 			if len(found) != test.stops || late != test.late {
-				t.Errorf("%d stops, late: %v, want %d, %v", len(found), late, test.stops, test.late)
+				t.Errorf("%d shutdowns, late: %v, want %d, %v", len(found), late, test.stops, test.late)
 			}
 		})
 	}
@@ -154,19 +154,20 @@
 		events := stopEvents()
 		events[len(events)-1].detail = how
 		found := stops(events, none)
-		if len(found) != 1 || found[0].cutShort() != short {
-			t.Errorf("%s: %+v, want one stop, cut short: %v", how, found, short)
+		if len(found) != 1 || found[0].killedBySignal() != short {
+			t.Errorf("%s: %+v, want one shutdown, killed by signal: %v", how, found, short)
 		}
 	}
 }
 
-// The check as a whole, on hand-made records: a breach tells the seed and the story.
-func TestLostRequestIsToldWithItsStory(t *testing.T) {
+// Runs the whole check on hand-made records: a violation must contain the seed and the
+// description of the lost request.
+func TestLostRequestIsReportedWithDetails(t *testing.T) {
 	n := &Node{Name: "n1", events: append(stopEvents()[:3:3], nodeEvent{at: at(14.2), kind: processEnded, detail: "exit status 0"})}
 	r := closedRecord()
 	r.node = n
 	fine, crossing := *r, *r
-	fine.end, fine.endsConnection = answered, true
+	fine.end, fine.closesConnection = answered, true
 	crossing.sentAt, crossing.endedAt = at(13.59), at(13.6)
 	var output strings.Builder
 	s := &soak{
@@ -179,26 +180,26 @@
 	}
 	result := &Result{}
 	s.checkPlannedWork(result)
-	if result.Lost != 1 || len(s.breaches) != 2 {
-		t.Fatalf("%d lost, broken: %q, want 1 lost and a late stop", result.Lost, s.breaches)
+	if result.Lost != 1 || len(s.violations) != 2 {
+		t.Fatalf("%d requests lost, violations: %q, want one lost request and one late shutdown", result.Lost, s.violations)
 	}
-	if late := s.breaches[0]; !strings.Contains(late, "seed 77: n1 was told to stop at 10.000 s and ended after 4.2s") {
-		t.Errorf("late stop told as %q", late)
+	if late := s.violations[0]; !strings.Contains(late, "seed 77: n1 was told to stop at 10.000 s and ended after 4.2s") {
+		t.Errorf("late shutdown reported as %q", late)
 	}
 	if len(result.Excused) != 1 {
-		t.Errorf("%q are told as not lost, want one", result.Excused)
+		t.Errorf("requests reported as not lost: %q, want one", result.Excused)
 	}
-	told := s.breaches[1]
+	told := s.violations[1]
 	for _, part := range []string{
 		"seed 77", "long read n1-c2-3 to n1 (connection 4, request 5 on it)", "times from SIGTERM", "last byte +1.300 s",
 		"connection closed without a whole answer at +3.600 s", "reached no server", "SIGHUP -0.100 s", "in force: server s1 hangs",
 	} {
 		if !strings.Contains(told, part) {
-			t.Errorf("%q is not in %q", part, told)
+			t.Errorf("%q missing in %q", part, told)
 		}
 	}
 	if strings.Contains(told, "s2") {
-		t.Errorf("a fault that was over is told: %q", told)
+		t.Errorf("report names a fault that had ended: %q", told)
 	}
 }
 
@@ -213,14 +214,14 @@
 		{"late", func(*record, *evidence) {}, 14.2, true},
 		{"late, and the client had not left", func(r *record, _ *evidence) { r.end = expired }, 14.2, false},
 		{"late, and the soak itself did not run", func(_ *record, known *evidence) { known.stalled = time.Second }, 14.2, false},
-		{"late, and the node was frozen", func(_ *record, known *evidence) { known.events = with(freezeSignal, 13.0, "") }, 14.2, false},
+		{"late, and the node was frozen", func(_ *record, known *evidence) { known.events = withEvent(freezeSignal, 13.0, "") }, 14.2, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := closedRecord()
-			r.end = left
+			r.end = disconnected
 			known := evidence{events: stopEvents(), arrivals: []standin.Arrival{{Request: r.id, Server: "s1", At: at(test.arrives)}}}
 			test.change(r, &known)
-			if late := r.reachedLate(known); late != test.late {
+			if late := r.arrivedAfterDisconnect(known); late != test.late {
 				t.Errorf("late %t, want %t", late, test.late)
 			}
 		})
@@ -229,23 +230,23 @@
 
 func TestRequestsBehindTheEndOfAConnectionAreLostOnlyIfTheyReachedAServer(t *testing.T) {
 	r := closedRecord()
-	r.behindEnd = true
+	r.afterClose = true
 	if r.lost(evidence{events: stopEvents()}) {
-		t.Error("lost, although it may have been left unread")
+		t.Error("counted as lost, although the node may not have read it")
 	}
 	if !r.lost(evidence{events: stopEvents(), arrivals: []standin.Arrival{{Request: r.id, Server: "s1", At: at(11.31)}}}) {
-		t.Error("not lost, although a server saw it")
+		t.Error("not counted as lost, although it reached a server")
 	}
 }
 
 func TestOfRequestsSentTogetherTheLastAnswerAsksForAnotherConnection(t *testing.T) {
 	r := closedRecord()
-	r.end, r.followed = answered, true
-	if r.keepsStopping(stopEvents()) {
-		t.Error("an answer before the last one has to end the connection")
+	r.end, r.hasSuccessor = answered, true
+	if r.keepsConnection(stopEvents()) {
+		t.Error("a response before the last one was required to close the connection")
 	}
-	r.followed = false
-	if !r.keepsStopping(stopEvents()) {
-		t.Error("the last answer may keep the connection")
+	r.hasSuccessor = false
+	if !r.keepsConnection(stopEvents()) {
+		t.Error("the last response was allowed to keep the connection open")
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,23 +13,24 @@
 
 const (
 	minFault, maxFault = 300 * time.Millisecond, 5 * time.Second
-	stopPatience       = 8 * time.Second
-	// goneAfter is how long a leaving server goes on serving.
-	goneAfter = 4 * time.Second
-	slowWork  = 600 * time.Millisecond
+	stopTimeout        = 8 * time.Second
+	// drainTime is how long a draining server continues to serve.
+	drainTime       = 4 * time.Second
+	slowServiceTime = 600 * time.Millisecond
 )
 
-// fault is a kind of fault: begin injects it and returns what takes it away.
+// fault is a kind of fault. begin injects it and returns the function that clears it, or
+// nil if it was not injected.
 type fault struct {
 	name  string
 	begin func(s *soak, random *rand.Rand) (end func())
 }
 
-// faults are all kinds. Each is injected from outside the processes: by a signal,
-// a link, or the stand-ins.
+// faults are the kinds used in every run with random faults. Each is injected from outside
+// the router processes: by a signal, a proxy link, or the stand-ins.
 var faults = slices.Concat(nodeFaults, storeFaults, otherFaults)
 
-// nodeFaults are the faults of a single node, or of all.
+// nodeFaults affect a single node, or all of them.
 var nodeFaults = []fault{
 	{"kill a node", func(s *soak, random *rand.Rand) func() {
 		n := s.node(random)
@@ -60,28 +61,28 @@
 		s.node(random).Signal(syscall.SIGHUP)
 		return func() {}
 	}},
-	{"cut a node off the store", func(s *soak, random *rand.Rand) func() {
+	{"disrupt the link of a node to the store", func(s *soak, random *rand.Rand) func() {
 		n := s.node(random)
-		n.Cut([]Mode{Silent, OneWay, Reset, Slow}[random.IntN(4)])
-		return func() { n.Cut(Pass) }
+		n.SetLinkMode([]Mode{Silent, OneWay, Reset, Slow}[random.IntN(4)])
+		return func() { n.SetLinkMode(Pass) }
 	}},
 }
 
-// storeFaults are what goes wrong with the store for everybody.
+// storeFaults are faults of the store that affect all its clients.
 var storeFaults = []fault{
 	{"store down", func(s *soak, _ *rand.Rand) func() {
 		s.world.setFaults(func(f *memory.Faults) { f.Down = true })
 		return func() { s.world.setFaults(func(f *memory.Faults) { f.Down = false }) }
 	}},
-	{"store refuses", func(s *soak, _ *rand.Rand) func() {
+	{"store rejects calls", func(s *soak, _ *rand.Rand) func() {
 		s.world.setFaults(func(f *memory.Faults) { f.Refuse = true })
 		return func() { s.world.setFaults(func(f *memory.Faults) { f.Refuse = false }) }
 	}},
-	{"store's answers are lost", func(s *soak, _ *rand.Rand) func() {
+	{"store responses are lost", func(s *soak, _ *rand.Rand) func() {
 		s.world.setFaults(func(f *memory.Faults) { f.LoseAnswers = true })
 		return func() { s.world.setFaults(func(f *memory.Faults) { f.LoseAnswers = false }) }
 	}},
-	{"watches are silent, then history is compacted", func(s *soak, _ *rand.Rand) func() {
+	{"watches stall, then history is compacted", func(s *soak, _ *rand.Rand) func() {
 		s.world.setFaults(func(f *memory.Faults) { f.Deaf = true })
 		return func() {
 			s.world.setFaults(func(f *memory.Faults) { f.Deaf = false })
@@ -90,7 +91,7 @@
 	}},
 }
 
-// otherFaults are the operator's work and the faults of servers.
+// otherFaults are operations by an operator and faults of servers.
 var otherFaults = []fault{
 	{"configuration changes", func(s *soak, _ *rand.Rand) func() {
 		s.world.configure()
@@ -107,20 +108,20 @@
 			s.replace(gone.Service)
 		}
 	}},
-	{"server leaves", func(s *soak, random *rand.Rand) func() {
+	{"server is drained", func(s *soak, random *rand.Rand) func() {
 		leaving := s.server(random)
 		if leaving == nil {
 			return nil
 		}
 		s.replace(leaving.Service)
-		s.world.leave(leaving)
+		s.world.drain(leaving)
 		return func() {
-			time.Sleep(goneAfter)
+			time.Sleep(drainTime)
 			leaving.Forget()
 			leaving.Stop()
 		}
 	}},
-	{"server is cut off", func(s *soak, random *rand.Rand) func() {
+	{"link to a server is disrupted", func(s *soak, random *rand.Rand) func() {
 		cut := s.server(random)
 		if cut == nil {
 			return nil
@@ -133,44 +134,45 @@
 		if slow == nil {
 			return nil
 		}
-		slow.SetFaults(standin.Faults{Work: slowWork})
-		return func() { slow.SetFaults(standin.Faults{Work: serverWork}) }
+		slow.SetFaults(standin.Faults{Work: slowServiceTime})
+		return func() { slow.SetFaults(standin.Faults{Work: serviceTime}) }
 	}},
-	// A zone that is evacuated in a short round leaves few servers; the checks are about
-	// what reaches them, not about what is served.
+	// Evacuating a zone in a short run leaves few servers. The checks cover which requests
+	// reach the evacuated servers, not how many are served.
 	{"zone is evacuated", func(s *soak, random *rand.Rand) func() {
 		return s.world.evacuate(zoneName(random.IntN(zones)))
 	}},
-	{"cold server comes", func(s *soak, random *rand.Rand) func() {
+	{"new server warms up", func(s *soak, random *rand.Rand) func() {
 		service := []string{standin.DividedService, standin.PlainService}[random.IntN(2)]
 		s.replace(service)
 		if joined := s.world.newest(); joined != nil {
-			s.world.turnCold(joined)
+			s.world.startWarmUp(joined)
 		}
 		return func() {}
 	}},
-	{"server turns cold", func(s *soak, random *rand.Rand) func() {
+	{"running server starts warming up", func(s *soak, random *rand.Rand) func() {
 		if turned := s.world.pick(random, standin.PlainService); turned != nil {
-			s.world.turnCold(turned)
+			s.world.startWarmUp(turned)
 		}
 		return func() {}
 	}},
-	{"grants are carried out late", func(s *soak, random *rand.Rand) func() {
+	{"grants are applied late", func(s *soak, random *rand.Rand) func() {
 		late := s.server(random)
 		if late == nil {
 			return nil
 		}
 		delay := time.Second + time.Duration(random.Int64N(int64(6*time.Second)))
-		late.SetFaults(standin.Faults{Work: serverWork, LateOrders: delay})
-		return func() { late.SetFaults(standin.Faults{Work: serverWork}) }
+		late.SetFaults(standin.Faults{Work: serviceTime, LateOrders: delay})
+		return func() { late.SetFaults(standin.Faults{Work: serviceTime}) }
 	}},
 }
 
-// kinds are the kinds of faults of this round.
+// kinds returns the kinds of faults for this run. Kinds that are listed several times are
+// chosen more often.
 func (s *soak) kinds() []fault {
 	switch {
 	case s.options.Needs:
-		return slices.Concat(faults, needFaults, needFaults)
+		return slices.Concat(faults, backpressureFaults, backpressureFaults)
 	case s.options.Restores:
 		return slices.Concat(faults, restoreFaults, restoreFaults, restoreFaults, restoreFaults)
 	default:
@@ -180,7 +182,8 @@
 
 func (s *soak) node(random *rand.Rand) *Node { return s.nodes[random.IntN(len(s.nodes))] }
 
-// server picks a server, mostly of the service that is divided by key.
+// server picks a random server, in two of three cases of the service sharded by key. It
+// returns nil if too few servers are left.
 func (s *soak) server(random *rand.Rand) *server {
 	if random.IntN(3) == 0 {
 		return s.world.pick(random, standin.PlainService)
@@ -190,20 +193,20 @@
 
 func (s *soak) replace(service string) {
 	if err := s.world.startServer(service); err != nil {
-		s.breach("no replacement of a server: %v", err)
+		s.recordViolation("start replacement server: %v", err)
 	}
 }
 
-// restart waits until a node's process has ended and starts it again.
+// restart waits until a node's process has exited and starts a new one.
 func (s *soak) restart(n *Node) {
-	n.Wait(stopPatience)
+	n.Wait(stopTimeout)
 	if err := n.Start(); err != nil {
-		s.breach("%s does not start again: %v", n.Name, err)
+		s.recordViolation("restart of %s failed: %v", n.Name, err)
 	}
 }
 
-// inject injects faults, some at the same time, until the length is over, and
-// returns how many when all have been taken away.
+// inject injects faults, some of them concurrently but each kind only once at a time, for
+// the given length. It returns their number once all are cleared.
 func (s *soak) inject(random *rand.Rand, kinds []fault, length time.Duration) int {
 	var group sync.WaitGroup
 	busy := make(map[string]bool)
@@ -212,21 +215,21 @@
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		pause := 200*time.Millisecond + time.Duration(random.Int64N(int64(1300*time.Millisecond)))
 		chosen := kinds[random.IntN(len(kinds))]
-		lasts := minFault + time.Duration(random.Int64N(int64(maxFault-minFault)))
-		own := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
+		duration := minFault + time.Duration(random.Int64N(int64(maxFault-minFault)))
+		faultRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 		time.Sleep(pause)
 		mutex.Lock()
-		again := busy[chosen.name]
+		running := busy[chosen.name]
 		busy[chosen.name] = true
 		mutex.Unlock()
-		if again {
+		if running {
 			continue
 		}
 		count++
-		s.note("%s for %v", chosen.name, lasts.Round(time.Millisecond))
+		s.logf("%s for %v", chosen.name, duration.Round(time.Millisecond))
 		group.Go(func() {
-			if end := chosen.begin(s, own); end != nil {
-				time.Sleep(lasts)
+			if end := chosen.begin(s, faultRandom); end != nil {
+				time.Sleep(duration)
 				end()
 			}
 			mutex.Lock()
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// nodeEventKind is what happened to a node's process.
+// nodeEventKind is the kind of an event in the history of a node's process.
 type nodeEventKind int
 
 const (
@@ -16,11 +16,10 @@
 	killSignal
 	freezeSignal
 	thawSignal
-	linkCut
+	linkChanged
 	processEnded
 )
 
-// String names the event.
 func (k nodeEventKind) String() string {
 	names := []string{"process started", "SIGTERM", "SIGHUP", "SIGKILL", "SIGSTOP", "SIGCONT", "link to the store changed", "process ended"}
 	if k >= 0 && int(k) < len(names) {
@@ -29,27 +28,27 @@
 	return "unknown"
 }
 
-// nodeEvent is something that happened to a node's process.
+// nodeEvent is an event in the history of a node's process.
 type nodeEvent struct {
 	at   time.Time
 	kind nodeEventKind
-	// detail says more, such as how a process ended.
+	// detail is the exit state for processEnded, and the new mode for linkChanged.
 	detail string
 }
 
-// faultSpan is a fault and when it was in force.
+// faultSpan is the interval in which a fault was active; until is zero while it is.
 type faultSpan struct {
 	name        string
 	from, until time.Time
 }
 
-// faultHistory remembers which faults were in force when.
+// faultHistory records when faults were active.
 type faultHistory struct {
 	mutex sync.Mutex
 	spans []*faultSpan
 }
 
-// begin notes that a fault begins and returns what notes its end.
+// begin records the start of a fault and returns the function that records its end.
 func (h *faultHistory) begin(format string, arguments ...any) (end func()) {
 	span := &faultSpan{name: fmt.Sprintf(format, arguments...), from: time.Now()}
 	h.mutex.Lock()
@@ -62,7 +61,7 @@
 	}
 }
 
-// during returns the names of the faults that were in force between two moments.
+// during returns the names of the faults that were active within an interval.
 func (h *faultHistory) during(from, until time.Time) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -76,23 +75,23 @@
 }
 
 const (
-	// stallTick is how often the soak looks at its own clock, and stallLeast the
-	// least delay that counts as a stall.
-	stallTick  = 10 * time.Millisecond
-	stallLeast = 20 * time.Millisecond
+	// stallTick is the interval of the stall detector, and minStall the smallest delay
+	// that counts as a stall.
+	stallTick = 10 * time.Millisecond
+	minStall  = 20 * time.Millisecond
 )
 
-// stall is a time in which the soak itself did not run.
+// stall is an interval in which the soak process itself was not scheduled.
 type stall struct{ from, until time.Time }
 
-// stallWatch notices when the soak's own process gets no processor time, so that its
-// delays are not taken for those of the nodes.
+// stallWatch detects when the soak process itself gets no CPU time, so that its delays are
+// not attributed to the nodes.
 type stallWatch struct {
 	mutex  sync.Mutex
 	stalls []stall
 }
 
-// run looks until stop is closed.
+// run records stalls until stop is closed.
 func (w *stallWatch) run(stop <-chan struct{}) {
 	for {
 		before := time.Now()
@@ -101,7 +100,7 @@
 			return
 		case <-time.After(stallTick):
 		}
-		if after := time.Now(); after.Sub(before) > stallTick+stallLeast {
+		if after := time.Now(); after.Sub(before) > stallTick+minStall {
 			w.mutex.Lock()
 			w.stalls = append(w.stalls, stall{from: before, until: after})
 			w.mutex.Unlock()
@@ -109,7 +108,7 @@
 	}
 }
 
-// between returns for how long the soak stalled between two moments.
+// between returns the total length of the stalls that overlap an interval.
 func (w *stallWatch) between(from, until time.Time) time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -10,31 +10,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mode is what a link does to the bytes that cross it.
+// Mode is how a link treats the traffic that it forwards.
 type Mode int32
 
 // The modes of a link.
 const (
-	// Pass lets everything through.
+	// Pass forwards all traffic.
 	Pass Mode = iota
-	// Silent holds everything back, both ways, and says nothing.
+	// Silent holds back traffic in both directions and keeps connections open.
 	Silent
-	// OneWay holds back what comes from the target.
+	// OneWay holds back traffic from the target only.
 	OneWay
 	// Reset resets every connection.
 	Reset
-	// Slow delays everything by slowDelay.
+	// Slow delays each read chunk by slowDelay.
 	Slow
 )
 
 const (
 	slowDelay = 150 * time.Millisecond
-	// modePoll is the pause between two looks of a held connection at the mode.
+	// modePoll is the interval at which a held connection rechecks the mode.
 	modePoll  = 20 * time.Millisecond
 	copyBytes = 16 << 10
 )
 
-// String names the mode.
 func (m Mode) String() string {
 	names := []string{"pass", "silent", "one way", "reset", "slow"}
 	if int(m) < len(names) {
@@ -68,7 +67,7 @@
 	return l, nil
 }
 
-// Set changes the mode. Connections are reset when it becomes Reset.
+// Set changes the mode. Reset also resets the open connections.
 func (l *Link) Set(mode Mode) {
 	l.mode.Store(int32(mode))
 	if mode == Reset {
@@ -76,12 +75,12 @@
 	}
 }
 
-// Close ends the link and all its connections.
+// Close stops the link and resets all its connections.
 func (l *Link) Close() {
 	l.mutex.Lock()
 	l.closed = true
 	l.mutex.Unlock()
-	// The listener is gone either way; there is nobody to tell.
+	// The listener is closed either way, so the error is of no use.
 	_ = l.listener.Close()
 	l.resetAll()
 }
@@ -98,7 +97,7 @@
 
 func reset(connection net.Conn) {
 	if socket, ok := connection.(*net.TCPConn); ok {
-		// Without it the connection is closed in order, which ends it as well.
+		// If it fails, Close ends the connection with FIN instead of RST.
 		_ = socket.SetLinger(0)
 	}
 	_ = connection.Close()
@@ -156,7 +155,7 @@
 	_ = connection.Close()
 }
 
-// copy passes bytes on as the mode allows until one side ends. backward is the
+// copy forwards bytes as the mode allows until either side closes. backward is set for the
 // direction from the target.
 func (l *Link) copy(into io.Writer, from io.Reader, backward bool) {
 	buffer := make([]byte, copyBytes)
@@ -176,7 +175,7 @@
 	}
 }
 
-// hold waits until bytes may pass. It reports false if the link ended.
+// hold blocks until the mode lets bytes pass. It returns false if the link was closed.
 func (l *Link) hold(backward bool) bool {
 	if l.current() == Slow {
 		time.Sleep(slowDelay)
--- a/internal/soak/pooledclients.go
+++ b/internal/soak/pooledclients.go
@@ -8,76 +8,77 @@
 )
 
 const (
-	// clientsPerNode is how many clients there are for each node, and most the
-	// number for all nodes, so that many nodes can run on one machine.
-	clientsPerNode, mostClients = 12, 420
-	// mostEager bounds the clients that send without a pause.
-	mostEager = 24
-	// redialPause is how long a client waits after a connection was refused.
+	// clientsPerNode is the number of clients per node. maxClients bounds their total, so
+	// that many nodes can run on one machine.
+	clientsPerNode, maxClients = 12, 420
+	// maxEager bounds the number of clients that send without a pause.
+	maxEager = 24
+	// redialPause is how long a client waits after a failed dial.
 	redialPause = 100 * time.Millisecond
-	// leaveShare is the part of their requests that leaving clients break off, most of
-	// them within earlyLeave, in which servers that are well answer.
-	leaveShare = 0.4
-	earlyShare = 0.7
-	earlyLeave = 2 * serverWork
-	// mostTogether bounds the requests that pipelining clients send together.
-	mostTogether = 5
+	// disconnectShare is the fraction of requests that disconnecting clients abandon.
+	// earlyShare of these are abandoned within earlyDisconnect, the time in which healthy
+	// servers respond.
+	disconnectShare = 0.4
+	earlyShare      = 0.7
+	earlyDisconnect = 2 * serviceTime
+	// maxPipelined bounds the number of requests that pipelining clients send at once.
+	maxPipelined = 5
 )
 
-// habit is how a client behaves.
-type habit struct {
+// profile is the behavior of a client.
+type profile struct {
 	name string
-	// least and most bound the pauses between requests.
-	least, most time.Duration
-	slowly      bool
-	leaves      bool
-	// pipelines sends reads together, up to mostTogether.
+	// minPause and maxPause bound the pauses between requests; both zero for no pause.
+	minPause, maxPause time.Duration
+	slowly             bool
+	disconnects        bool
+	// pipelines is set for clients that pipeline up to maxPipelined reads.
 	pipelines bool
-	// longShare is the part of requests that are long reads.
+	// longShare is the fraction of requests that are long reads.
 	longShare float64
 }
 
-// habits are those of all clients in turn. Clients with long pauses are the most:
-// their connections are idle when a node begins to stop, and used afterwards.
-var habits = []habit{
+// profiles are assigned to the clients in turn. Most have long pauses, so that their
+// connections are idle when a node begins its shutdown, and used afterwards.
+var profiles = []profile{
 	{name: "eager", longShare: 0.1},
-	{name: "idle", least: 100 * time.Millisecond, most: 3 * time.Second, longShare: 0.5},
-	{name: "slow", most: 500 * time.Millisecond, slowly: true, longShare: 0.2},
-	{name: "idle", least: 500 * time.Millisecond, most: 2 * time.Second, longShare: 0.5},
-	{name: "pipelining", most: 500 * time.Millisecond, pipelines: true, longShare: 0.2},
-	{name: "leaving", most: 500 * time.Millisecond, leaves: true, longShare: 0.3},
-	{name: "idle", least: time.Second, most: 4 * time.Second, longShare: 0.7},
-	{name: "pipelining and leaving", most: 500 * time.Millisecond, pipelines: true, leaves: true, longShare: 0.3},
+	{name: "idle", minPause: 100 * time.Millisecond, maxPause: 3 * time.Second, longShare: 0.5},
+	{name: "slow", maxPause: 500 * time.Millisecond, slowly: true, longShare: 0.2},
+	{name: "idle", minPause: 500 * time.Millisecond, maxPause: 2 * time.Second, longShare: 0.5},
+	{name: "pipelining", maxPause: 500 * time.Millisecond, pipelines: true, longShare: 0.2},
+	{name: "leaving", maxPause: 500 * time.Millisecond, disconnects: true, longShare: 0.3},
+	{name: "idle", minPause: time.Second, maxPause: 4 * time.Second, longShare: 0.7},
+	{name: "pipelining and leaving", maxPause: 500 * time.Millisecond, pipelines: true, disconnects: true, longShare: 0.3},
 }
 
-// pooledClients are clients that keep connections open and use them for as long as
-// they can, as connection pools do.
+// pooledClients is a set of clients that reuse connections for as long as possible, as
+// connection pools do.
 type pooledClients struct {
 	nodes []*Node
 
 	mutex       sync.Mutex
 	records     []*record
 	connections int
-	// refusedDials counts connections that could not be made.
+	// refusedDials counts failed dials.
 	refusedDials int
-	// failure is why the clients themselves did not work.
+	// failure is an error of the clients themselves, which invalidates the run.
 	failure error
 }
 
-// run sends requests until the context ends.
+// run sends requests until the context is done.
 func (c *pooledClients) run(ctx context.Context, seed uint64) {
 	var group sync.WaitGroup
-	for index := range min(clientsPerNode*len(c.nodes), mostClients) {
-		client := &pooledClient{all: c, index: index, habit: habitOf(index), random: rand.New(rand.NewPCG(seed, uint64(index)))}
+	for index := range min(clientsPerNode*len(c.nodes), maxClients) {
+		client := &pooledClient{pool: c, index: index, profile: profileOf(index), random: rand.New(rand.NewPCG(seed, uint64(index)))}
 		group.Go(func() { client.run(ctx) })
 	}
 	group.Wait()
 }
 
-func habitOf(index int) habit {
-	chosen := habits[index%len(habits)]
-	if chosen.most == 0 && index >= mostEager*len(habits) {
-		chosen = habits[1]
+func profileOf(index int) profile {
+	chosen := profiles[index%len(profiles)]
+	if chosen.maxPause == 0 && index >= maxEager*len(profiles) {
+		chosen = profiles[1]
 	}
 	return chosen
 }
@@ -107,14 +108,14 @@
 	c.failure = err
 }
 
-// all returns the records of all requests that have ended.
+// all returns the records of all finished requests.
 func (c *pooledClients) all() []*record {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]*record(nil), c.records...)
 }
 
-// results returns what all clients saw.
+// results returns the outcomes of all finished requests.
 func (c *pooledClients) results() []outcome {
 	records := c.all()
 	seen := make([]outcome, 0, len(records))
@@ -124,41 +125,41 @@
 	return seen
 }
 
-// pooledClient is one client. It has one connection at a time.
+// pooledClient is a client with one connection at a time.
 type pooledClient struct {
-	all    *pooledClients
-	index  int
-	habit  habit
-	random *rand.Rand
-	sent   int
+	pool    *pooledClients
+	index   int
+	profile profile
+	random  *rand.Rand
+	sent    int
 }
 
 func (c *pooledClient) run(ctx context.Context) {
-	node := c.all.nodes[c.index%len(c.all.nodes)]
+	node := c.pool.nodes[c.index%len(c.pool.nodes)]
 	for ctx.Err() == nil {
-		connection, err := dial(node, c.all.nextConnection())
+		connection, err := dial(node, c.pool.nextConnection())
 		if err != nil {
-			c.all.dialRefused()
+			c.pool.dialRefused()
 			time.Sleep(redialPause)
 		} else {
 			c.use(ctx, connection)
 		}
-		node = c.all.nodes[c.random.IntN(len(c.all.nodes))]
+		node = c.pool.nodes[c.random.IntN(len(c.pool.nodes))]
 	}
 }
 
-// use sends requests on a connection until it ends.
+// use sends requests on a connection until the connection or the context ends.
 func (c *pooledClient) use(ctx context.Context, connection *rawConnection) {
-	// The node sees the end of the connection; there is nobody to tell.
+	// The connection is closed either way, so the error is of no use.
 	defer func() { _ = connection.Close() }()
 	for !connection.ending && connection.idle(c.pause()) && ctx.Err() == nil {
 		records, err := c.exchange(connection)
 		if err != nil {
-			c.all.fail(err)
+			c.pool.fail(err)
 			return
 		}
 		for _, r := range records {
-			c.all.add(r)
+			c.pool.add(r)
 		}
 		if last := records[len(records)-1]; last.end != answered && last.end != refused {
 			return
@@ -166,15 +167,15 @@
 	}
 }
 
-// exchange sends one request, or some together, and waits for their end.
+// exchange sends one request, or a pipelined batch, and waits until all have ended.
 func (c *pooledClient) exchange(connection *rawConnection) ([]*record, error) {
 	first := c.next(connection.node)
-	if !c.habit.pipelines || !first.class.repeatable() {
+	if !c.profile.pipelines || !first.class.repeatable() {
 		r, err := connection.exchange(first, c.random)
 		return []*record{r}, err
 	}
-	batch := []*sending{first}
-	for count := 1 + c.random.IntN(mostTogether); len(batch) < count; {
+	batch := []*requestPlan{first}
+	for count := 1 + c.random.IntN(maxPipelined); len(batch) < count; {
 		if further := c.next(connection.node); further.class.repeatable() {
 			batch = append(batch, further)
 		}
@@ -183,29 +184,29 @@
 }
 
 func (c *pooledClient) pause() time.Duration {
-	if c.habit.most == 0 {
+	if c.profile.maxPause == 0 {
 		return 0
 	}
-	return c.habit.least + time.Duration(c.random.Int64N(int64(c.habit.most-c.habit.least)))
+	return c.profile.minPause + time.Duration(c.random.Int64N(int64(c.profile.maxPause-c.profile.minPause)))
 }
 
 // next draws the next request.
-func (c *pooledClient) next(node *Node) *sending {
+func (c *pooledClient) next(node *Node) *requestPlan {
 	c.sent++
 	chosen := &classes[c.random.IntN(len(classes)-1)]
-	if c.random.Float64() < c.habit.longShare {
+	if c.random.Float64() < c.profile.longShare {
 		chosen = longReads
 	}
-	s := &sending{id: requestID(node, c.index, c.sent), class: chosen, key: -1, slowly: c.habit.slowly}
+	s := &requestPlan{id: requestID(node, c.index, c.sent), class: chosen, key: -1, slowly: c.profile.slowly}
 	if chosen.keyed {
 		s.key = c.random.IntN(keyCount) * keySpread
 	}
-	if c.habit.leaves && c.random.Float64() < leaveShare {
+	if c.profile.disconnects && c.random.Float64() < disconnectShare {
 		within := chosen.deadline
 		if c.random.Float64() < earlyShare {
-			within = earlyLeave
+			within = earlyDisconnect
 		}
-		s.leaveAfter = 1 + upTo(c.random, within)
+		s.disconnectAfter = 1 + randomBelow(c.random, within)
 	}
 	return s
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,46 +14,46 @@
 	"github.com/micahaven/micahaven/platform/standin"
 )
 
-// contactTime is for how long a node must have been undisturbed before it is bound
-// by the promises that carry a time.
-const contactTime = 3 * time.Second
+// settleTime is how long after its last disturbance a node is exempt from the guarantees
+// that have a time bound.
+const settleTime = 3 * time.Second
 
-// Node is one router process, its settings and its link to the store.
+// Node is one router node: its process, its settings and its link to the store.
 type Node struct {
 	Name    string
 	Clients string
 	Ready   string
 
-	index   int
-	inner   string
-	program string
-	folder  string
-	log     *os.File
-	link    *Link
+	index       int
+	nodeAddress string
+	program     string
+	folder      string
+	log         *os.File
+	link        *Link
 
 	mutex          sync.Mutex
 	process        *exec.Cmd
 	ended          chan struct{}
 	frozen         bool
 	disturbedUntil time.Time
-	// down is true from a signal that ends the process until the next start.
+	// down is set from a terminating signal until the next start.
 	down bool
-	// events is the history of the node's processes, and starts how many there were.
+	// events is the history of the node's processes, and starts the number of starts.
 	events []nodeEvent
 	starts int
 }
 
-// grace is within what time a node that is told to stop must have ended.
+// grace is the time within which a node must exit after SIGTERM.
 const grace = 4 * time.Second
 
-// changeable are the settings that a node reads again on SIGHUP.
-type changeable struct {
+// reloadable holds the settings that a node rereads on SIGHUP.
+type reloadable struct {
 	drain time.Duration
-	// retrySlack is the number of repeats that are always allowed.
+	// retrySlack is the number of retries that are always allowed.
 	retrySlack int
 }
 
-var firstSettings = changeable{drain: 2 * time.Second, retrySlack: 50}
+var initialSettings = reloadable{drain: 2 * time.Second, retrySlack: 50}
 
 const settingsText = `
 node: %s
@@ -71,10 +71,10 @@
 homes: true
 `
 
-// NewNode prepares a node that reaches the store through a link of its own.
+// NewNode prepares a node that connects to the store through its own link.
 func NewNode(program, folder string, index int, store string) (*Node, error) {
 	n := &Node{Name: fmt.Sprintf("n%d", index), index: index, program: program, folder: folder}
-	for _, into := range []*string{&n.Clients, &n.Ready, &n.inner} {
+	for _, into := range []*string{&n.Clients, &n.Ready, &n.nodeAddress} {
 		address, err := freeAddress()
 		if err != nil {
 			return nil, err
@@ -86,16 +86,16 @@
 		return nil, err
 	}
 	n.link = link
-	if err := n.writeSettings(firstSettings); err != nil {
+	if err := n.writeSettings(initialSettings); err != nil {
 		return nil, err
 	}
 	n.log, err = os.Create(filepath.Join(folder, n.Name+".log"))
 	return n, errors.Wrap(err, "create log")
 }
 
-// writeSettings replaces the settings file in one step.
-func (n *Node) writeSettings(values changeable) error {
-	text := fmt.Sprintf(settingsText, n.Name, n.index%3, n.Clients, n.Ready, n.inner, n.link.Address,
+// writeSettings replaces the settings file atomically.
+func (n *Node) writeSettings(values reloadable) error {
+	text := fmt.Sprintf(settingsText, n.Name, n.index%3, n.Clients, n.Ready, n.nodeAddress, n.link.Address,
 		values.drain.Milliseconds(), grace.Milliseconds(), evacuationBound.Milliseconds(),
 		standin.WarmUpOver, standin.WarmUpSlack, values.retrySlack)
 	next := n.settings() + ".next"
@@ -117,73 +117,73 @@
 		return errors.Wrapf(err, "start %s", n.Name)
 	}
 	n.starts++
-	n.happened(processStarted, "")
+	n.addEvent(processStarted, "")
 	ended := make(chan struct{})
 	go func() {
-		// How it ended is in the process's state.
+		// The exit status is taken from ProcessState.
 		_ = process.Wait()
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		n.happened(processEnded, process.ProcessState.String())
+		n.addEvent(processEnded, process.ProcessState.String())
 		close(ended)
 	}()
 	n.process, n.ended, n.frozen, n.down = process, ended, false, false
-	n.disturb()
+	n.markDisturbed()
 	return nil
 }
 
-// happened adds to the history. The caller holds the mutex.
-func (n *Node) happened(kind nodeEventKind, detail string) {
+// addEvent appends an event to the history. The caller must hold the mutex.
+func (n *Node) addEvent(kind nodeEventKind, detail string) {
 	n.events = append(n.events, nodeEvent{at: time.Now(), kind: kind, detail: detail})
 }
 
-// history returns what happened to the node's processes.
+// history returns a copy of the events of the node's processes.
 func (n *Node) history() []nodeEvent {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return append([]nodeEvent(nil), n.events...)
 }
 
-// Starts returns how many processes were started.
+// Starts returns how many times the process was started.
 func (n *Node) Starts() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.starts
 }
 
-// disturb notes that the node was disturbed just now. The caller holds the mutex.
-func (n *Node) disturb() { n.disturbedUntil = time.Now().Add(contactTime) }
+// markDisturbed records a disturbance of the node. The caller must hold the mutex.
+func (n *Node) markDisturbed() { n.disturbedUntil = time.Now().Add(settleTime) }
 
-// Signal sends a signal to the node's own process.
+// Signal records a signal and sends it to the node's process.
 func (n *Node) Signal(signal syscall.Signal) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.disturb()
+	n.markDisturbed()
 	if n.process == nil {
 		return
 	}
 	switch signal {
 	case syscall.SIGSTOP:
 		n.frozen = true
-		n.happened(freezeSignal, "")
+		n.addEvent(freezeSignal, "")
 	case syscall.SIGCONT:
 		n.frozen = false
-		n.happened(thawSignal, "")
+		n.addEvent(thawSignal, "")
 	case syscall.SIGTERM:
 		n.down = true
-		n.happened(termSignal, "")
+		n.addEvent(termSignal, "")
 	case syscall.SIGKILL:
 		n.down = true
-		n.happened(killSignal, "")
+		n.addEvent(killSignal, "")
 	case syscall.SIGHUP:
-		n.happened(reloadSignal, "")
+		n.addEvent(reloadSignal, "")
 	}
-	// A process that has ended needs no signal.
+	// A process that has exited needs no signal.
 	_ = n.process.Process.Signal(signal)
 }
 
-// Wait waits until the process has ended, and kills it if that takes too long.
-func (n *Node) Wait(patience time.Duration) {
+// Wait waits until the process exits. On timeout it kills the process.
+func (n *Node) Wait(timeout time.Duration) {
 	n.mutex.Lock()
 	process, ended := n.process, n.ended
 	n.mutex.Unlock()
@@ -192,22 +192,22 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		n.Signal(syscall.SIGKILL)
 		<-ended
 	}
 }
 
-// Cut changes what the node's link to the store does.
-func (n *Node) Cut(mode Mode) {
+// SetLinkMode sets the mode of the node's link to the store.
+func (n *Node) SetLinkMode(mode Mode) {
 	n.mutex.Lock()
-	n.disturb()
-	n.happened(linkCut, mode.String())
+	n.markDisturbed()
+	n.addEvent(linkChanged, mode.String())
 	n.mutex.Unlock()
 	n.link.Set(mode)
 }
 
-// Ended reports whether the process has ended.
+// Ended reports whether the process has exited.
 func (n *Node) Ended() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -219,20 +219,21 @@
 	}
 }
 
-// InTouch reports whether the node has been undisturbed for long enough.
-func (n *Node) InTouch() bool {
+// Undisturbed reports whether the node is not frozen, was not told to exit, has a working link
+// to the store, and has had no disturbance for settleTime.
+func (n *Node) Undisturbed() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return !n.frozen && !n.down && time.Now().After(n.disturbedUntil) && n.link.current() == Pass
 }
 
-// Stop ends the process, the link and the log.
+// Stop terminates the process and closes the link and the log.
 func (n *Node) Stop() {
 	n.Signal(syscall.SIGCONT)
 	n.Signal(syscall.SIGTERM)
-	const patience = 6 * time.Second
-	n.Wait(patience)
+	const timeout = 6 * time.Second
+	n.Wait(timeout)
 	n.link.Close()
-	// What was logged is written; there is nothing to do about the rest.
+	// The process wrote the log through its own descriptor.
 	_ = n.log.Close()
 }
--- a/internal/soak/rawconnection_test.go
+++ b/internal/soak/rawconnection_test.go
@@ -14,8 +14,9 @@
 	"github.com/micahaven/micahaven/platform/standin"
 )
 
-// answerer is a server of the tests: it reads one request and lets answer end it.
-func answerer(t *testing.T, answer func(connection net.Conn, request *http.Request)) *Node {
+// newTestServer starts a server that accepts one connection, reads one request and passes it to
+// respond. The connection is closed when respond returns.
+func newTestServer(t *testing.T, respond func(connection net.Conn, request *http.Request)) *Node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,12 +34,12 @@
 			return
 		}
 		_, _ = io.ReadAll(request.Body)
-		answer(connection, request)
+		respond(connection, request)
 	}()
 	return &Node{Name: "n1", Clients: listener.Addr().String()}
 }
 
-func order() *class {
+func orderClass() *class {
 	return &class{name: "order", method: http.MethodPost, path: "/orders/x", deadline: 200 * time.Millisecond, timeout: time.Second}
 }
 
@@ -54,7 +55,7 @@
 	for _, test := range []struct {
 		name   string
 		answer func(connection net.Conn, request *http.Request)
-		change func(*sending)
+		change func(*requestPlan)
 		end    end
 		head   bool
 		broken bool
@@ -70,22 +71,22 @@
 		{"refusal that ends the connection", func(connection net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(connection, refusal)
 		}, nil, refused, true, false, true},
-		{"closed", func(net.Conn, *http.Request) {}, nil, closed, false, false, false},
+		{"closed", func(net.Conn, *http.Request) {}, nil, connectionClosed, false, false, false},
 		{"closed within the body", func(connection net.Conn, _ *http.Request) {
 			fmt.Fprintf(connection, success, 50, "half")
-		}, nil, closed, true, false, false},
-		{"sent slowly and closed", func(net.Conn, *http.Request) {}, func(s *sending) { s.slowly = true }, closed, false, false, false},
+		}, nil, connectionClosed, true, false, false},
+		{"sent slowly and closed", func(net.Conn, *http.Request) {}, func(s *requestPlan) { s.slowly = true }, connectionClosed, false, false, false},
 		{"silent", func(connection net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, connection) }, nil, expired, false, false, false},
 		{"client leaves", func(connection net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, connection) },
-			func(s *sending) { s.leaveAfter = 20 * time.Millisecond }, left, false, false, false},
+			func(s *requestPlan) { s.disconnectAfter = 20 * time.Millisecond }, disconnected, false, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			connection, err := dial(answerer(t, test.answer), 1)
+			connection, err := dial(newTestServer(t, test.answer), 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer connection.Close()
-			request := &sending{id: "n1-c1-1", class: order(), key: -1}
+			request := &requestPlan{id: "n1-c1-1", class: orderClass(), key: -1}
 			if test.change != nil {
 				test.change(request)
 			}
@@ -93,8 +94,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.end != test.end || r.headArrived != test.head || (r.broken != "") != test.broken || connection.ending != test.ending {
-				t.Errorf("%v (%v), head %v, broken %q, ending %v", r.end, r.cause, r.headArrived, r.broken, connection.ending)
+			if r.end != test.end || r.headReceived != test.head || (r.broken != "") != test.broken || connection.ending != test.ending {
+				t.Errorf("%v (%v), head %v, broken %q, ending %v", r.end, r.cause, r.headReceived, r.broken, connection.ending)
 			}
 			times := []time.Time{r.connectedAt, r.beganAt, r.headSentAt, r.sentAt, r.endedAt}
 			for index := range times[1:] {
@@ -108,7 +109,7 @@
 
 func TestEndOfIdleConnectionIsSeen(t *testing.T) {
 	end := make(chan struct{})
-	node := answerer(t, func(connection net.Conn, _ *http.Request) {
+	node := newTestServer(t, func(connection net.Conn, _ *http.Request) {
 		_, _ = io.WriteString(connection, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		<-end
 	})
@@ -117,15 +118,15 @@
 		t.Fatal(err)
 	}
 	defer connection.Close()
-	if _, err := connection.exchange(&sending{id: "n1-c1-1", class: order(), key: -1}, rand.New(rand.NewPCG(1, 1))); err != nil {
+	if _, err := connection.exchange(&requestPlan{id: "n1-c1-1", class: orderClass(), key: -1}, rand.New(rand.NewPCG(1, 1))); err != nil {
 		t.Fatal(err)
 	}
 	if !connection.idle(time.Millisecond) {
-		t.Error("the connection is open, and was taken for ended")
+		t.Error("open connection reported as closed")
 	}
 	close(end)
 	const patience = 5 * time.Second
 	if connection.idle(patience) {
-		t.Error("the connection has ended, and was taken for open")
+		t.Error("closed connection reported as open")
 	}
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -12,19 +12,19 @@
 type class struct {
 	name, method, path string
 	keyed              bool
-	// deadline is how long the client waits; timeout is the route's limit.
+	// deadline is how long the client waits; timeout is the route's timeout.
 	deadline, timeout time.Duration
 }
 
 const (
-	// longTimeout exceeds what is left of a node's grace at any time of its stop.
+	// longTimeout exceeds a node's grace period, and so what remains of it at any time.
 	longTimeout  = 5 * time.Second
 	routeTimeout = 2 * time.Second
 	longPrefix   = "/waits/"
 )
 
-// longReads is the class of requests that outlast a node's grace, and classes are
-// all kinds that clients of planned work send; the long reads come last.
+// longReads is the class of requests that outlast a node's grace period. classes are all
+// classes sent by the clients of planned work; longReads must be last.
 var (
 	longReads = &classes[len(classes)-1]
 	classes   = []class{
@@ -35,27 +35,28 @@
 	}
 )
 
-// repeatable reports whether requests of the class may run more than once.
+// repeatable reports whether requests of the class may be executed more than once.
 func (c *class) repeatable() bool { return c.method == http.MethodGet }
 
-// patience is how long a node may work on a request of the class.
-func (c *class) patience() time.Duration { return min(c.deadline, c.timeout) }
+// maxDuration returns how long a node may work on a request of the class.
+func (c *class) maxDuration() time.Duration { return min(c.deadline, c.timeout) }
 
-// end is how a request ended for its client.
+// end is how a request ended as seen by its client.
 type end int
 
 const (
-	// notSent means that the connection ended before the request was sent whole.
+	// notSent means that the connection failed before the request was sent completely.
 	notSent end = iota
-	// answered and refused are whole answers.
+	// answered and refused mean that a complete response was received; refused is an
+	// unsigned one from the node, with a status of notExecutedStatuses.
 	answered
 	refused
-	// closed means that the connection ended without a whole answer.
-	closed
-	// expired means that no answer came in the client's time.
+	// connectionClosed means that the connection closed without a complete response.
+	connectionClosed
+	// expired means that the client timed out without a response.
 	expired
-	// left means that the client closed the connection of its own will.
-	left
+	// disconnected means that the client closed the connection deliberately.
+	disconnected
 	endCount
 )
 
@@ -69,46 +70,46 @@
 	return "unknown"
 }
 
-// record is what a client knows of one request.
+// record is what a client recorded about one request.
 type record struct {
 	id    string
 	node  *Node
 	class *class
-	// connection tells the connections of all clients apart, and position is the
-	// request's place on its connection.
+	// connection is the number of the connection, unique among all clients, and position
+	// the number of the request on it.
 	connection, position int
-	// connectedAt is when the connection was open, beganAt when the first byte was
-	// sent, headSentAt the last one of the head, sentAt the last one of the request,
-	// and endedAt when the request ended for the client.
+	// connectedAt is when the connection was established, beganAt when the first byte was
+	// sent, headSentAt the last byte of the head, sentAt the last byte of the request, and
+	// endedAt when the request ended for the client.
 	connectedAt, beganAt, headSentAt, sentAt, endedAt time.Time
 	end                                               end
 	status                                            int
-	// headArrived says that the head of an answer came, and endsConnection that it
-	// asked for another connection.
-	headArrived, endsConnection bool
-	// followed says that another request was sent behind it before its answer came, and
-	// behindEnd that an earlier request's end was that of the connection.
-	followed, behindEnd bool
-	// cause is the error with which the connection ended.
+	// headReceived is set once the head of a response was received, and closesConnection if
+	// it announced that the connection will be closed.
+	headReceived, closesConnection bool
+	// hasSuccessor is set if another request was pipelined behind it, and afterClose if the
+	// connection ended with an earlier request.
+	hasSuccessor, afterClose bool
+	// cause is the error that ended the request; nil for complete responses.
 	cause error
-	// broken says what was wrong with an answer that looked like a success.
+	// broken describes why a response with status 200 was invalid; empty if it was valid.
 	broken string
 }
 
-// outcome is the record as the checks of all soaks see it.
+// outcome returns the part of the record that the checks of all kinds of runs use.
 func (r *record) outcome() outcome {
 	return outcome{
 		id: r.id, node: r.node, repeatable: r.class.repeatable(), status: r.status, broken: r.broken,
-		unjudged: r.end == left || r.end == notSent || r.behindEnd,
+		excluded: r.end == disconnected || r.end == notSent || r.afterClose,
 	}
 }
 
-// story tells what is known of a request. Times are relative to the moment at which
-// its node was told to stop, or to the request's last byte if it was not.
-func (r *record) story(events []nodeEvent, arrivals []standin.Arrival, inForce []string) string {
+// description returns what is known about a request. Times are relative to its node's first
+// SIGTERM, or to the request's last byte if there was none.
+func (r *record) description(events []nodeEvent, arrivals []standin.Arrival, activeFaults []string) string {
 	zero, reference := r.sentAt, "the last byte"
-	if told, found := firstTerm(events, r.sentAt); found {
-		zero, reference = told, "SIGTERM"
+	if signalled, found := firstSIGTERM(events, r.sentAt); found {
+		zero, reference = signalled, "SIGTERM"
 	}
 	at := func(moment time.Time) string { return fmt.Sprintf("%+.3f s", moment.Sub(zero).Seconds()) }
 	text := fmt.Sprintf("%s %s to %s (connection %d, request %d on it), times from %s: connected %s, first byte %s, head %s, last byte %s, %s at %s",
@@ -124,33 +125,34 @@
 		text += "; reached no server"
 	}
 	for _, event := range events {
-		if event.at.After(r.connectedAt.Add(-storyBefore)) && event.at.Before(r.endedAt.Add(storyAfter)) {
+		if event.at.After(r.connectedAt.Add(-contextBefore)) && event.at.Before(r.endedAt.Add(contextAfter)) {
 			text += fmt.Sprintf("; %s %s", event.kind, at(event.at))
 		}
 	}
-	for _, name := range inForce {
+	for _, name := range activeFaults {
 		text += "; in force: " + name
 	}
 	return text
 }
 
-// firstTerm returns when the process that ran at a moment was first told to stop.
-func firstTerm(events []nodeEvent, moment time.Time) (told time.Time, found bool) {
+// firstSIGTERM returns when the process that ran at a moment first received SIGTERM.
+func firstSIGTERM(events []nodeEvent, moment time.Time) (signalled time.Time, found bool) {
 	for _, event := range events {
 		switch {
 		case event.kind == processStarted && event.at.After(moment):
-			return told, found
+			return signalled, found
 		case event.kind == processStarted:
-			told, found = time.Time{}, false
+			signalled, found = time.Time{}, false
 		case event.kind == termSignal && !found:
-			told, found = event.at, true
+			signalled, found = event.at, true
 		}
 	}
-	return told, found
+	return signalled, found
 }
 
 const (
-	// storyBefore and storyAfter bound which events belong to a request's story.
-	storyBefore = 5 * time.Second
-	storyAfter  = 5 * time.Second
+	// contextBefore and contextAfter bound how long before and after a request events are
+	// included in its description.
+	contextBefore = 5 * time.Second
+	contextAfter  = 5 * time.Second
 )
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// savePause is the pause between two copies of the store, and oldestCopy how old one may be
-	// when the store is restored from it.
-	savePause  = 250 * time.Millisecond
-	oldestCopy = 5 * time.Second
-	// announcePause is within what time after a restore servers announce themselves again, and
-	// lapseTime after what time the entries of servers that have ended are gone.
-	announcePause = 1300 * time.Millisecond
-	lapseTime     = 4 * time.Second
+	// saveInterval is the interval between snapshots of the store, and maxSnapshotAge the
+	// maximum age of a snapshot that is restored.
+	saveInterval   = 250 * time.Millisecond
+	maxSnapshotAge = 5 * time.Second
+	// maxAnnounceDelay bounds how long after a restore servers announce themselves again, and
+	// leaseExpiry is how long after it the entries of stopped servers disappear.
+	maxAnnounceDelay = 1300 * time.Millisecond
+	leaseExpiry      = 4 * time.Second
 )
 
-// copies keeps the last copies of the store, the oldest first.
-type copies struct {
+// storeSnapshots holds the latest snapshots of the store, oldest first.
+type storeSnapshots struct {
 	mutex sync.Mutex
 	saved []memory.Saved
 }
 
-// run saves copies of a store until the context ends.
-func (c *copies) run(ctx context.Context, store *standin.Store) {
+// run takes snapshots of a store until the context is done.
+func (c *storeSnapshots) run(ctx context.Context, store *standin.Store) {
 	for ctx.Err() == nil {
 		saved := store.Save()
 		c.mutex.Lock()
 		c.saved = append(c.saved, saved)
-		if len(c.saved) > int(oldestCopy/savePause) {
+		if len(c.saved) > int(maxSnapshotAge/saveInterval) {
 			c.saved = c.saved[1:]
 		}
 		c.mutex.Unlock()
-		time.Sleep(savePause)
+		time.Sleep(saveInterval)
 	}
 }
 
-// take returns one of the copies and drops all: they are of the era that ends.
-func (c *copies) take(random *rand.Rand) memory.Saved {
+// take returns a random snapshot and drops all of them, as they belong to the store era that
+// the restore ends.
+func (c *storeSnapshots) take(random *rand.Rand) memory.Saved {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	taken := c.saved[random.IntN(len(c.saved))]
@@ -50,22 +51,22 @@
 	return taken
 }
 
-// restoreFaults restore the store from an older copy after it was away for a moment.
+// restoreFaults restore the store from an older snapshot after a short outage.
 var restoreFaults = []fault{
-	{"store is restored from an older copy", func(s *soak, random *rand.Rand) func() {
-		saved := s.copies.take(random)
+	{"store is restored from an older snapshot", func(s *soak, random *rand.Rand) func() {
+		saved := s.storeSnapshots.take(random)
 		s.world.setFaults(func(f *memory.Faults) { f.Down = true })
 		return func() {
 			s.world.store.Restore(saved)
 			s.world.setFaults(func(f *memory.Faults) { f.Down = false })
-			s.world.writeAgain(random)
+			s.world.rewriteState(random)
 		}
 	}},
 }
 
-// writeAgain writes again what the operator and the servers had written, and lets the entries
-// of servers that have ended lapse.
-func (w *world) writeAgain(random *rand.Rand) {
+// rewriteState rewrites the state of the operator and the servers after a restore, and lets
+// the entries of stopped servers expire.
+func (w *world) rewriteState(random *rand.Rand) {
 	w.mutex.Lock()
 	standin.Configure(w.store, w.version, routesOf(w.version))
 	servers := append([]*server(nil), w.servers...)
@@ -74,16 +75,16 @@
 		evacuated[zone] = times[len(times)-1].until.IsZero()
 	}
 	w.mutex.Unlock()
-	for zone, inForce := range evacuated {
-		if inForce {
+	for zone, inProgress := range evacuated {
+		if inProgress {
 			standin.Evacuate(w.store, zone)
 		} else {
 			standin.EndEvacuation(w.store, zone)
 		}
 	}
 	for _, s := range servers {
-		time.AfterFunc(time.Duration(random.Int64N(int64(announcePause))), func() { w.announceAgain(s) })
-		time.AfterFunc(lapseTime, func() {
+		time.AfterFunc(time.Duration(random.Int64N(int64(maxAnnounceDelay))), func() { w.reannounce(s) })
+		time.AfterFunc(leaseExpiry, func() {
 			if s.Dead() {
 				s.Forget()
 			}
@@ -91,14 +92,14 @@
 	}
 }
 
-// announceAgain writes a server's entry again if the server lives.
-func (w *world) announceAgain(s *server) {
+// reannounce rewrites a server's entry unless the server has stopped.
+func (w *world) reannounce(s *server) {
 	w.mutex.Lock()
-	leaving := !s.leftAt.IsZero()
+	draining := !s.drainingSince.IsZero()
 	w.mutex.Unlock()
 	switch {
 	case s.Dead():
-	case leaving:
+	case draining:
 		s.Announce("draining")
 	default:
 		s.Announce("ready")
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,7 +1,7 @@
 // Package soak runs real router processes on one machine against stand-ins of the
 // platform, injects random faults from outside the processes (signals, loopback
-// links, the stand-ins), and checks the router's promises from what callers and
-// servers see.
+// proxies, the stand-ins), and checks the router's guarantees against what clients and
+// servers observe.
 package soak
 
 import (
@@ -16,71 +16,70 @@
 	"github.com/micahaven/micahaven/platform/standin"
 )
 
-// Options describe one soak.
+// Options configures a soak run.
 type Options struct {
-	// Router is the path of the router's program.
+	// Router is the path of the router's executable.
 	Router string
-	// Folder takes the settings and logs of the processes.
+	// Folder receives the settings and logs of the processes.
 	Folder string
 	Seed   uint64
 	Nodes  int
-	// Length is for how long faults are injected.
+	// Length is the time during which faults are injected.
 	Length time.Duration
-	// Planned plays the operator's planned work, beside servers that misbehave,
-	// instead of random faults, with clients that account for each request.
+	// Planned runs planned operations (restarts, drains, configuration changes) while
+	// servers misbehave, instead of random faults, with clients that account for each request.
 	Planned bool
-	// Needs makes servers ask for limits, rest and an end in their answers, and crash of
-	// some requests, beside the random faults.
+	// Needs makes servers signal rate limits, backoff and draining in their responses, and
+	// crash on some requests, in addition to the random faults.
 	Needs bool
-	// Restores makes the store come back from older copies of itself, beside the random faults.
+	// Restores restores the store from older snapshots, in addition to the random faults.
 	Restores bool
 	Output   io.Writer
 }
 
-// Result is what a soak saw.
+// Result is the outcome of a soak run.
 type Result struct {
 	Seed             uint64
 	Faults           int
 	Requests, Served int
-	// Processes is how many router processes ran at the same time, and Started how
-	// many were started in all.
+	// Processes is the number of router processes that ran concurrently, and Started the
+	// total number of starts.
 	Processes, Started int
-	// Lost is how many requests were lost in planned work, LongestStop the longest
-	// time that a stopping node took, and Ends counts how requests ended; only
-	// planned work has them.
+	// Lost is the number of requests lost in planned work, LongestStop the longest time
+	// that a node took to shut down, and Ends counts requests by how they ended. Only
+	// planned work sets them.
 	Lost int
-	// Kept counts answers of stopping nodes that did not ask for another connection.
+	// Kept counts responses of stopping nodes that did not close the connection.
 	Kept        int
 	LongestStop time.Duration
 	Ends        map[string]int
-	// Excused are the stories of requests that ended without an answer and are not
-	// counted as lost.
+	// Excused describes the requests that ended without a response and are not counted as
+	// lost.
 	Excused []string
-	// ServedAfter is the part of the requests that were served at the end, with no
-	// faults.
+	// ServedAfter is the fraction of requests served at the end of the run, without faults.
 	ServedAfter float64
-	// Breaches are the promises that were seen broken.
+	// Breaches lists the violated guarantees.
 	Breaches []string
 }
 
 const (
-	startPatience = 20 * time.Second
-	// recoverPatience is how long after the last fault everything must be served
-	// again: a new manager may have to wait for late orders of one that died, and
-	// then for the hold of their grants (13 s and 5.2 s).
-	recoverPatience = 20 * time.Second
-	finalTime       = 3 * time.Second
-	// leastServedAfter is the part of the requests that must be served once all
-	// faults are gone.
-	leastServedAfter = 0.95
-	maxBreaches      = 50
+	startTimeout = 20 * time.Second
+	// recoveryTime is how long after the last fault all requests must be served again: a
+	// new manager may have to wait until delayed grants of a failed one can no longer
+	// arrive (13 s), and then until the leases of these grants expire (5.2 s).
+	recoveryTime = 20 * time.Second
+	finalWindow  = 3 * time.Second
+	// minServedAfter is the fraction of requests that must be served once all faults are
+	// cleared.
+	minServedAfter = 0.95
+	maxViolations  = 50
 )
 
-// load is what sends requests.
-type load interface {
-	// run sends requests until the context ends.
+// loadGenerator sends requests to the nodes.
+type loadGenerator interface {
+	// run sends requests until the context is done.
 	run(ctx context.Context, seed uint64)
-	// results returns what was seen of the requests that have ended.
+	// results returns the outcomes of the finished requests.
 	results() []outcome
 }
 
@@ -88,30 +87,31 @@
 	options Options
 	nodes   []*Node
 	world   *world
-	clients load
+	clients loadGenerator
 	// pooled are the clients of planned work; nil otherwise.
-	pooled  *pooledClients
-	history faultHistory
-	stalls  stallWatch
-	copies  copies
-	started time.Time
-	// cold counts the requests at cold servers, and needs those at servers that ask for
-	// something. Only watch uses them.
-	cold  lastSecond
-	needs needsWatch
-
-	mutex    sync.Mutex
-	breaches []string
+	pooled         *pooledClients
+	history        faultHistory
+	stalls         stallWatch
+	storeSnapshots storeSnapshots
+	started        time.Time
+	// coldArrivals counts requests at servers that are warming up, and signals those at
+	// servers that signal backpressure. Both are used by watch only, without a lock.
+	coldArrivals arrivalWindow
+	signals      backpressureWatch
+
+	mutex      sync.Mutex
+	violations []string
 }
 
-// Run runs one soak. Its error means that the soak itself could not run.
+// Run executes one soak run. A non-nil error means that the run itself failed; violated
+// guarantees are in the Result.
 func Run(options Options) (*Result, error) {
 	world, err := newWorld(options.Nodes)
 	if err != nil {
 		return nil, err
 	}
 	defer world.close()
-	s := &soak{options: options, world: world, started: time.Now(), cold: make(lastSecond)}
+	s := &soak{options: options, world: world, started: time.Now(), coldArrivals: make(arrivalWindow)}
 	defer s.stopNodes()
 	for index := range options.Nodes {
 		n, err := NewNode(options.Router, options.Folder, index, world.store.Address)
@@ -128,11 +128,11 @@
 		s.pooled = &pooledClients{nodes: s.nodes}
 		s.clients = s.pooled
 	}
-	s.waitReady(startPatience)
-	return s.play(), nil
+	s.waitReady(startTimeout)
+	return s.runPhases(), nil
 }
 
-// stopNodes stops all nodes at the same time.
+// stopNodes stops all nodes concurrently.
 func (s *soak) stopNodes() {
 	var group sync.WaitGroup
 	for _, n := range s.nodes {
@@ -141,30 +141,30 @@
 	group.Wait()
 }
 
-func (s *soak) play() *Result {
+func (s *soak) runPhases() *Result {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Go(func() { s.clients.run(ctx, s.options.Seed) })
 	group.Go(func() { s.watch(ctx) })
 	group.Go(func() { s.stalls.run(ctx.Done()) })
 	if s.options.Restores {
-		group.Go(func() { s.copies.run(ctx, s.world.store) })
+		group.Go(func() { s.storeSnapshots.run(ctx, s.world.store) })
 	}
 	if s.options.Planned {
-		s.waitOwned(startPatience)
+		s.waitOwned(startTimeout)
 	}
 	random := rand.New(rand.NewPCG(s.options.Seed, 0))
-	count, recovery := 0, recoverPatience
+	count, recovery := 0, recoveryTime
 	if s.options.Planned {
-		count, recovery = s.planWork(random, s.options.Length), plannedRecovery
+		count, recovery = s.runPlannedWork(random, s.options.Length), plannedRecovery
 	} else {
 		count = s.inject(random, s.kinds(), s.options.Length)
 	}
-	s.world.heal()
-	s.waitReady(startPatience)
+	s.world.clearFaults()
+	s.waitReady(startTimeout)
 	time.Sleep(recovery)
 	before := len(s.clients.results())
-	time.Sleep(finalTime)
+	time.Sleep(finalWindow)
 	after := s.clients.results()[before:]
 	cancel()
 	group.Wait()
@@ -188,7 +188,7 @@
 	}
 	served, counted := 0, 0
 	for _, seen := range after {
-		if seen.unjudged {
+		if seen.excluded {
 			continue
 		}
 		counted++
@@ -197,31 +197,31 @@
 		}
 	}
 	result.ServedAfter = float64(served) / float64(max(1, counted))
-	if result.ServedAfter < leastServedAfter {
-		s.breach("after all faults %d of %d requests were served", served, counted)
+	if result.ServedAfter < minServedAfter {
+		s.recordViolation("after all faults %d of %d requests were served", served, counted)
 	}
 	for _, text := range s.world.ledger.Breaches() {
-		s.breach("ownership: %s", text)
+		s.recordViolation("ownership: %s", text)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	result.Breaches = append([]string(nil), s.breaches...)
+	result.Breaches = append([]string(nil), s.violations...)
 	return result
 }
 
-// waitReady waits until all nodes say that they are ready.
-func (s *soak) waitReady(patience time.Duration) {
+// waitReady waits until all nodes report ready.
+func (s *soak) waitReady(timeout time.Duration) {
 	for _, n := range s.nodes {
-		s.waitNodeReady(n, patience)
+		s.waitNodeReady(n, timeout)
 	}
 }
 
-// waitNodeReady waits until a node says that it is ready.
-func (s *soak) waitNodeReady(n *Node, patience time.Duration) {
+// waitNodeReady waits until a node reports ready and records a violation on timeout.
+func (s *soak) waitNodeReady(n *Node, timeout time.Duration) {
 	const pause = 50 * time.Millisecond
-	for deadline := time.Now().Add(patience); !ready(n); time.Sleep(pause) {
+	for deadline := time.Now().Add(timeout); !ready(n); time.Sleep(pause) {
 		if time.Now().After(deadline) {
-			s.breach("%s is not ready after %v", n.Name, patience)
+			s.recordViolation("%s did not become ready within %v", n.Name, timeout)
 			return
 		}
 	}
@@ -237,18 +237,18 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (s *soak) note(format string, arguments ...any) {
+func (s *soak) logf(format string, arguments ...any) {
 	fmt.Fprintf(s.options.Output, "%7.2f s  %s\n", time.Since(s.started).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// breach notes a broken promise.
-func (s *soak) breach(format string, arguments ...any) {
+// recordViolation records and logs a violated guarantee, up to maxViolations.
+func (s *soak) recordViolation(format string, arguments ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.breaches) >= maxBreaches {
+	if len(s.violations) >= maxViolations {
 		return
 	}
 	text := fmt.Sprintf("%.2f s: %s", time.Since(s.started).Seconds(), fmt.Sprintf(format, arguments...))
-	s.breaches = append(s.breaches, text)
+	s.violations = append(s.violations, text)
 	fmt.Fprintf(s.options.Output, "BROKEN %s\n", text)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,21 +9,21 @@
 	"github.com/micahaven/micahaven/internal/soak"
 )
 
-// play builds the real program and plays a round with it.
-func play(t *testing.T, options soak.Options) *soak.Result {
+// runSoak builds the router, runs a soak with it, and fails the test on each violation.
+func runSoak(t *testing.T, options soak.Options) *soak.Result {
 	t.Helper()
 	options.Folder, options.Output = t.TempDir(), t.Output()
 	options.Router = filepath.Join(options.Folder, "router")
 	build := exec.Command("go", "build", "-o", options.Router, "../../cmd/micahaven-router")
 	if output, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("build the router: %v\n%s", err, output)
+		t.Fatalf("build router: %v\n%s", err, output)
 	}
 	result, err := soak.Run(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if result.Faults == 0 || result.Served == 0 {
-		t.Fatalf("%d faults, %d requests served", result.Faults, result.Served)
+		t.Fatalf("%d faults injected, %d requests served, want some of both", result.Faults, result.Served)
 	}
 	for _, breach := range result.Breaches {
 		t.Error(breach)
@@ -31,33 +31,33 @@
 	return result
 }
 
-// A short round; scripts/soak.sh plays long ones.
+// A short run with random faults; scripts/soak.sh does long ones.
 func TestPromisesHoldUnderFaults(t *testing.T) {
-	play(t, soak.Options{Seed: 101, Nodes: 3, Length: 10 * time.Second})
+	runSoak(t, soak.Options{Seed: 101, Nodes: 3, Length: 10 * time.Second})
 }
 
-// Rolling restarts that overlap, beside servers that misbehave, with clients that
-// account for each request. The round takes a minute and plays each kind of trouble.
+// Overlapping rolling restarts while servers misbehave, with clients that account for each
+// request. The run takes a minute and covers each kind of server fault.
 func TestPlannedWorkLosesNoRequest(t *testing.T) {
 	const (
-		troubles = 5
-		length   = 45 * time.Second
+		serverFaults = 5
+		length       = 45 * time.Second
 	)
-	result := play(t, soak.Options{Seed: 201, Nodes: 4, Length: length, Planned: true})
+	result := runSoak(t, soak.Options{Seed: 201, Nodes: 4, Length: length, Planned: true})
 	t.Logf("%d processes, %d started, %d series, %d requests, %d lost, longest stop %v, ends: %v",
 		result.Processes, result.Started, result.Faults, result.Requests, result.Lost, result.LongestStop, result.Ends)
-	if result.Faults < troubles {
-		t.Errorf("%d series, want one at least for each of %d troubles", result.Faults, troubles)
+	if result.Faults < serverFaults {
+		t.Errorf("%d series, want at least one for each of %d server faults", result.Faults, serverFaults)
 	}
 }
 
-// Servers that ask for limits, rest and an end in their answers, and that crash of some
-// requests, beside random faults.
+// Servers that signal rate limits, backoff and draining in their responses and crash on some
+// requests, in addition to random faults.
 func TestServersGetWhatTheyAskForUnderFaults(t *testing.T) {
-	play(t, soak.Options{Seed: 1, Nodes: 4, Length: 25 * time.Second, Needs: true})
+	runSoak(t, soak.Options{Seed: 1, Nodes: 4, Length: 25 * time.Second, Needs: true})
 }
 
-// A store that comes back from older copies of itself, beside random faults.
+// A store that is restored from older snapshots, in addition to random faults.
 func TestPromisesHoldWhenTheStoreIsRestored(t *testing.T) {
-	play(t, soak.Options{Seed: 1, Nodes: 4, Length: 20 * time.Second, Restores: true})
+	runSoak(t, soak.Options{Seed: 1, Nodes: 4, Length: 20 * time.Second, Restores: true})
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	dividedServers = 6
+	shardedServers = 6
 	plainServers   = 4
-	serverWork     = 60 * time.Millisecond
-	// nodesPerServer is how many nodes there are for each server of a service if
-	// there are many nodes.
+	serviceTime    = 60 * time.Millisecond
+	// nodesPerServer is the number of nodes per server of a service in runs with many
+	// nodes.
 	nodesPerServer = 4
 )
 
-// server is a server, its link, and when it began to leave.
+// server is a stand-in server with its link and the state that the checks need.
 type server struct {
 	*standin.Server
 	link *Link
-	// leftAt is when the store acknowledged that the server leaves; zero if not.
-	leftAt time.Time
-	// cold are the times in which the server was cold.
-	cold []span
-	// need is what it asks for; nil if nothing.
-	need *need
+	// drainingSince is when the store acknowledged that the server is draining; zero if it
+	// is not.
+	drainingSince time.Time
+	// coldSpans are the intervals in which nodes had to treat the server as warming up.
+	coldSpans []span
+	// backpressure is what the server signals; nil if nothing.
+	backpressure *backpressure
 }
 
-// span is a time from one moment to another; until is zero while it lasts.
+// span is a half-open time interval; until is zero while it lasts.
 type span struct{ from, until time.Time }
 
 func (s span) contains(at time.Time) bool {
 	return !at.Before(s.from) && (s.until.IsZero() || at.Before(s.until))
 }
 
-// world holds the store, the servers and the operator's configuration.
+// world is the environment of the nodes: the store, the servers and the operator's
+// configuration.
 type world struct {
 	store  *standin.Store
 	ledger *standin.Ledger
@@ -48,26 +50,26 @@
 	mutex   sync.Mutex
 	servers []*server
 	started int
-	// version and extra describe the configuration in force: extra is the number
-	// of the one route that changes with each version.
+	// version is the version of the current configuration. It is also the number of its
+	// extra route, the one route that changes with each version.
 	version        int
 	configuredAt   time.Time
 	faults         memory.Faults
 	storeDisturbed time.Time
-	// crashed counts servers that crashed of requests, by path.
+	// crashed counts the servers crashed by requests, by request path.
 	crashed map[string]int
-	// evacuated holds the times in which zones were evacuated.
+	// evacuated holds the intervals in which zones were evacuated, by zone.
 	evacuated map[string][]span
 }
 
-// newWorld starts a store and as many servers as a number of nodes needs.
+// newWorld starts a store and the servers for a number of nodes.
 func newWorld(nodes int) (*world, error) {
 	w := &world{store: standin.NewStore(), ledger: standin.NewLedger(), evacuated: make(map[string][]span)}
 	w.configure()
-	divided, plain := max(dividedServers, nodes/nodesPerServer), max(plainServers, nodes/nodesPerServer)
-	for index := range divided + plain {
+	sharded, plain := max(shardedServers, nodes/nodesPerServer), max(plainServers, nodes/nodesPerServer)
+	for index := range sharded + plain {
 		service := standin.DividedService
-		if index >= divided {
+		if index >= sharded {
 			service = standin.PlainService
 		}
 		if err := w.startServer(service); err != nil {
@@ -77,7 +79,7 @@
 	return w, nil
 }
 
-// startServer starts one more server behind a link of its own.
+// startServer starts one more server behind its own link.
 func (w *world) startServer(service string) error {
 	var link *Link
 	var failed error
@@ -98,20 +100,20 @@
 		return failed
 	}
 	started.link = link
-	started.CrashesOf(crashes, func(r *http.Request) { w.crashBy(started, r) })
-	started.SetFaults(standin.Faults{Work: serverWork})
+	started.CrashesOf(causesCrash, func(r *http.Request) { w.crashServer(started, r) })
+	started.SetFaults(standin.Faults{Work: serviceTime})
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.servers = append(w.servers, started)
 	return nil
 }
 
-// zones is how many zones nodes and servers are in.
+// zones is the number of zones that nodes and servers are spread over.
 const zones = 3
 
 func zoneName(index int) string { return fmt.Sprintf("z%d", index%zones) }
 
-// newest returns the server that was started last.
+// newest returns the server that was started last, or nil.
 func (w *world) newest() *server {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -121,16 +123,16 @@
 	return w.servers[len(w.servers)-1]
 }
 
-// turnCold makes a server cold.
-func (w *world) turnCold(s *server) {
+// startWarmUp makes a server start warming up.
+func (w *world) startWarmUp(s *server) {
 	w.mutex.Lock()
-	s.cold = append(s.cold, span{from: time.Now().Add(coldNotice), until: time.Now().Add(standin.WarmUp)})
+	s.coldSpans = append(s.coldSpans, span{from: time.Now().Add(coldPropagation), until: time.Now().Add(standin.WarmUp)})
 	w.mutex.Unlock()
 	s.TurnCold()
 }
 
-// evacuate asks to send nothing to a zone until the function that it returns is called;
-// its servers are cold then.
+// evacuate evacuates a zone until the returned function is called. The zone's servers warm
+// up afterwards.
 func (w *world) evacuate(zone string) (end func()) {
 	standin.Evacuate(w.store, zone)
 	w.mutex.Lock()
@@ -138,7 +140,7 @@
 	w.evacuated[zone] = append(w.evacuated[zone], span{from: time.Now()})
 	return func() {
 		for _, s := range w.inZone(zone) {
-			w.turnCold(s)
+			w.startWarmUp(s)
 		}
 		w.mutex.Lock()
 		last := len(w.evacuated[zone]) - 1
@@ -160,7 +162,7 @@
 	return found
 }
 
-// server returns the server with an id, or nil.
+// server returns the server with an ID, or nil.
 func (w *world) server(id string) *server {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -172,8 +174,8 @@
 	return nil
 }
 
-// evacuatedSince returns since when a server's zone was evacuated at a moment; zero if it
-// was not.
+// evacuatedSince returns the start of the evacuation of a server's zone that was in progress
+// at a moment, or zero if there was none.
 func (w *world) evacuatedSince(s *server, at time.Time) time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -185,28 +187,28 @@
 	return time.Time{}
 }
 
-// coldAt reports whether a server was cold at a moment, and long enough for all nodes to
-// know.
+// coldAt reports whether a server was warming up at a moment, and had been for long enough
+// for all nodes to have been notified.
 func (w *world) coldAt(s *server, at time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return slices.ContainsFunc(s.cold, func(times span) bool { return times.contains(at) })
+	return slices.ContainsFunc(s.coldSpans, func(times span) bool { return times.contains(at) })
 }
 
-// live returns the servers of a service that neither ended nor leave.
+// live returns the servers of a service that are neither stopped nor draining.
 func (w *world) live(service string) []*server {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var live []*server
 	for _, s := range w.servers {
-		if !s.Dead() && s.leftAt.IsZero() && s.Service == service {
+		if !s.Dead() && s.drainingSince.IsZero() && s.Service == service {
 			live = append(live, s)
 		}
 	}
 	return live
 }
 
-// owned reports whether servers hold all keys that clients ask for.
+// owned reports whether every key that clients request is held by a server.
 func (w *world) owned() bool {
 	servers := w.live(standin.DividedService)
 	for index := range keyCount {
@@ -218,18 +220,18 @@
 	return true
 }
 
-// pick returns a server of a service that neither ended nor leaves, or nil.
+// pick returns a random live server of a service, or nil if too few are left.
 func (w *world) pick(random *rand.Rand, service string) *server {
 	live := w.live(service)
-	const leastLive = 3
-	if len(live) < leastLive {
+	const minLive = 3
+	if len(live) < minLive {
 		return nil
 	}
 	return live[random.IntN(len(live))]
 }
 
-// configure writes the next version of the configuration: one route goes and
-// another one comes.
+// configure writes the next version of the configuration, which replaces the extra route of
+// the previous version by a new one.
 func (w *world) configure() {
 	w.mutex.Lock()
 	w.version++
@@ -252,69 +254,69 @@
 
 func extraPath(version int) string { return fmt.Sprintf("/extra%d/", version) }
 
-// configuration returns the version in force and when it was acknowledged.
+// configuration returns the current version and when the store acknowledged it.
 func (w *world) configuration() (int, time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.version, w.configuredAt
 }
 
-// leave announces that a server leaves.
-func (w *world) leave(s *server) {
+// drain announces that a server is draining.
+func (w *world) drain(s *server) {
 	s.Announce("draining")
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	s.leftAt = time.Now()
+	s.drainingSince = time.Now()
 }
 
-// setFaults changes what is wrong with the store for everybody.
+// setFaults changes the faults of the store that affect all its clients.
 func (w *world) setFaults(change func(*memory.Faults)) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	change(&w.faults)
 	w.store.SetFaults(w.faults)
-	w.disturbStore()
+	w.markStoreDisturbed()
 }
 
-// disturbStore notes a disturbance of the store. The caller holds the mutex.
-func (w *world) disturbStore() { w.storeDisturbed = time.Now().Add(contactTime) }
+// markStoreDisturbed records a disturbance of the store. The caller must hold the mutex.
+func (w *world) markStoreDisturbed() { w.storeDisturbed = time.Now().Add(settleTime) }
 
-// compact makes the store forget its history.
+// compact compacts the store's history.
 func (w *world) compact() {
 	w.store.Compact()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.disturbStore()
+	w.markStoreDisturbed()
 }
 
-// storeStable reports whether nothing is and was wrong with the store lately.
+// storeStable reports whether the store has had no faults for settleTime.
 func (w *world) storeStable() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.faults == (memory.Faults{}) && time.Now().After(w.storeDisturbed)
 }
 
-// leftAt returns when servers began to leave.
-func (w *world) leftAt() map[string]time.Time {
+// drainingSince returns when the draining servers began to drain, by ID.
+func (w *world) drainingSince() map[string]time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	left := make(map[string]time.Time)
+	starts := make(map[string]time.Time)
 	for _, s := range w.servers {
-		if !s.leftAt.IsZero() {
-			left[s.ID] = s.leftAt
+		if !s.drainingSince.IsZero() {
+			starts[s.ID] = s.drainingSince
 		}
 	}
-	return left
+	return starts
 }
 
-// heal takes every fault of servers and store away.
-func (w *world) heal() {
+// clearFaults clears all faults of servers, links and store.
+func (w *world) clearFaults() {
 	w.setFaults(func(faults *memory.Faults) { *faults = memory.Faults{} })
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, s := range w.servers {
 		s.link.Set(Pass)
-		s.SetFaults(standin.Faults{Work: serverWork})
+		s.SetFaults(standin.Faults{Work: serviceTime})
 	}
 }
 
