--- a/internal/store/etcdjson/client.go
+++ b/internal/store/etcdjson/client.go
@@ -1,5 +1,5 @@
-// Package etcdjson speaks the etcd v3 JSON gateway, the published HTTP form of
-// the etcd API, to a key-value service.
+// Package etcdjson implements a client for key-value services that offer the etcd v3 JSON
+// gateway, the published HTTP mapping of the etcd API.
 package etcdjson
 
 import (
@@ -17,10 +17,11 @@
 	"github.com/micahaven/micahaven/internal/store"
 )
 
-// maxResponseBytes bounds one answer of the service.
+// maxResponseBytes limits the size of one response of the service. It does not apply to
+// watch streams.
 const maxResponseBytes = 32 << 20
 
-// Client is a store.Store on one or more endpoints of the same service.
+// Client is a store.Store that uses one or more endpoints of the same service.
 type Client struct {
 	endpoints []string
 	http      *http.Client
@@ -30,14 +31,14 @@
 
 var _ store.Store = (*Client)(nil)
 
-// New returns a client that makes at most perSecond calls a second, because the
-// service limits its callers.
-func New(endpoints []string, httpClient *http.Client, perSecond float64) *Client {
+// New returns a client that makes at most callsPerSecond calls per second on average,
+// because the service rate-limits its clients. Short bursts are allowed.
+func New(endpoints []string, httpClient *http.Client, callsPerSecond float64) *Client {
 	const burst = 20
 	return &Client{
 		endpoints: endpoints,
 		http:      httpClient,
-		limiter:   rate.NewLimiter(rate.Limit(perSecond), burst),
+		limiter:   rate.NewLimiter(rate.Limit(callsPerSecond), burst),
 	}
 }
 
@@ -50,7 +51,7 @@
 	}
 	pairs := make([]store.KeyValue, 0, len(response.Kvs))
 	for _, kv := range response.Kvs {
-		pairs = append(pairs, convert(kv))
+		pairs = append(pairs, toStoreKeyValue(kv))
 	}
 	return pairs, response.Header.Revision, nil
 }
@@ -65,7 +66,7 @@
 			Key:         []byte(swap.Key),
 			ModRevision: swap.Expected,
 		})
-		request.Success = append(request.Success, operation(swap))
+		request.Success = append(request.Success, toOperation(swap))
 	}
 	var response TxnResponse
 	if err := c.call(ctx, PathTxn, request, &response); err != nil {
@@ -77,7 +78,7 @@
 	return response.Header.Revision, nil
 }
 
-func operation(swap store.Swap) Operation {
+func toOperation(swap store.Swap) Operation {
 	if swap.Value == nil {
 		return Operation{Delete: &DeleteRequest{Key: []byte(swap.Key)}}
 	}
@@ -106,31 +107,31 @@
 			return errors.Wrapf(store.ErrCompacted, "watch of %s after revision %d", prefix, after)
 		}
 		for _, event := range message.Result.Events {
-			receive(store.Event{KeyValue: convert(event.Kv), Deleted: event.Type == EventTypeDelete})
+			receive(store.Event{KeyValue: toStoreKeyValue(event.Kv), Deleted: event.Type == EventTypeDelete})
 		}
 	}
 }
 
-func convert(kv KeyValue) store.KeyValue {
+func toStoreKeyValue(kv KeyValue) store.KeyValue {
 	return store.KeyValue{Key: string(kv.Key), Value: kv.Value, Revision: kv.ModRevision}
 }
 
 func (c *Client) call(ctx context.Context, path string, request, response any) error {
-	answer, err := c.post(ctx, path, request)
+	httpResponse, err := c.post(ctx, path, request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	decoder := json.NewDecoder(io.LimitReader(answer.Body, maxResponseBytes))
+	defer httpResponse.Body.Close()
+	decoder := json.NewDecoder(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err := decoder.Decode(response); err != nil {
 		return errors.Wrapf(store.ErrUnavailable, "answer of %s: %v", path, err)
 	}
 	return nil
 }
 
-// post sends one request to the preferred endpoint and moves on to the next
-// one, for the next call, when it fails. It does not repeat the request itself,
-// since a change may have taken effect.
+// post sends one request to the preferred endpoint. If the request fails, the next endpoint
+// becomes the preferred one for later calls. The request itself is not retried, because a
+// change may already have taken effect.
 func (c *Client) post(ctx context.Context, path string, request any) (*http.Response, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, errors.Wrapf(store.ErrUnavailable, "own rate limit: %v", err)
@@ -142,12 +143,12 @@
 	preferred := c.preferred.Load()
 	endpoint := c.endpoints[int(preferred)%len(c.endpoints)]
 	url := strings.TrimSuffix(endpoint, "/") + path
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrapf(err, "endpoint %s", endpoint)
 	}
-	call.Header.Set("Content-Type", "application/json")
-	response, err := c.http.Do(call)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		c.preferred.CompareAndSwap(preferred, preferred+1)
 		return nil, errors.Wrapf(store.ErrUnavailable, "%v", err)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the one way to the platform's key-value service: what
-// micahaven needs of it, and no more.
+// Package store defines the interface to the platform's key-value service, limited to the
+// operations that micahaven uses. All access to the service goes through it.
 package store
 
 import (
@@ -10,34 +10,36 @@
 
 // Errors of a store.
 var (
-	// ErrConflict means that a key was not at the expected revision. Nothing
-	// was changed.
-	ErrConflict = errors.New("key is at another revision")
-	// ErrUnavailable means that the service did not answer. A change that was
-	// asked for may have taken effect; the caller has to read to know.
+	// ErrConflict means that a key was not at the expected revision and that no
+	// swap was applied.
+	ErrConflict = errors.New("key is not at the expected revision")
+	// ErrUnavailable means that the service did not respond as expected. A requested
+	// change may have taken effect; the caller has to read the keys to find out.
 	ErrUnavailable = errors.New("key-value service unavailable")
-	// ErrCompacted means that a watch asked for history that is gone.
-	ErrCompacted = errors.New("watch revision is compacted")
+	// ErrCompacted means that a watch started at a revision whose history the service has
+	// already compacted.
+	ErrCompacted = errors.New("watch revision has been compacted")
 )
 
-// KeyValue is one key at one revision.
+// KeyValue is the value of a key at one revision.
 type KeyValue struct {
 	Key   string
 	Value []byte
-	// Revision is the revision of the key's last change; it only grows.
+	// Revision is the store revision of the key's last change. It never decreases.
 	Revision int64
 }
 
-// Swap is one conditional write.
+// Swap is one conditional write of a CompareAndSwap.
 type Swap struct {
 	Key string
-	// Expected is the revision the key must be at; 0 means it must not exist.
+	// Expected is the required current revision of the key; 0 means that the key must not
+	// exist.
 	Expected int64
 	// Value is the new value; nil deletes the key.
 	Value []byte
 }
 
-// Event is one change that a watch reports.
+// Event is one change reported by a watch.
 type Event struct {
 	KeyValue
 	Deleted bool
@@ -45,19 +47,20 @@
 
 // Store is a revisioned key-value service.
 type Store interface {
-	// List returns all keys with a prefix, and the revision of the whole read.
+	// List returns all keys with a prefix and the store revision at which they were read.
 	List(ctx context.Context, prefix string) ([]KeyValue, int64, error)
-	// CompareAndSwap applies all swaps together, or none, and returns the
-	// revision of the change.
+	// CompareAndSwap applies all swaps atomically, or none of them, and returns the
+	// revision of the change. The error matches ErrConflict if a key was not at its
+	// expected revision.
 	CompareAndSwap(ctx context.Context, swaps ...Swap) (int64, error)
-	// Watch calls receive for every change of the prefix after a revision, in
+	// Watch calls receive for each change to a key with the prefix after a revision, in
 	// order, until the context or the connection ends.
 	Watch(ctx context.Context, prefix string, after int64, receive func(Event)) error
 }
 
-// Get returns one key, and false if it does not exist.
-func Get(ctx context.Context, from Store, key string) (KeyValue, bool, error) {
-	found, _, err := from.List(ctx, key)
+// Get returns one key, or false if it does not exist.
+func Get(ctx context.Context, source Store, key string) (KeyValue, bool, error) {
+	found, _, err := source.List(ctx, key)
 	if err != nil {
 		return KeyValue{}, false, err
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -17,12 +17,13 @@
 
 const (
 	dialTimeout = time.Second
-	// redialPause keeps a node that is gone from being dialled in a loop.
-	redialPause = 100 * time.Millisecond
+	// redialBackoff is the minimum time from the end of a dial to the next dial to the same
+	// address, so that an unreachable node is not dialled in a tight loop.
+	redialBackoff = 100 * time.Millisecond
 )
 
 // Client sends envelopes to other nodes. It keeps one connection per address
-// and dials again when one is lost. It is safe for concurrent use.
+// and redials on the next use after a connection is lost. It is safe for concurrent use.
 //
 // Lock order: Client.mutex before peer.mutex.
 type Client struct {
@@ -34,82 +35,84 @@
 	closed bool
 }
 
-// NewClient returns a client that introduces itself with hello. A nil tls
-// configuration means plain TCP.
+// NewClient returns a client that sends hello in the handshake of each connection. A nil
+// TLS configuration means plain TCP.
 func NewClient(hello *wire.Hello, config *tls.Config) *Client {
 	return &Client{hello: hello, tls: config, peers: make(map[string]*peer)}
 }
 
-// Call sends an envelope and waits for its answer. The error matches ErrNotSent
-// when the peer certainly did not receive it.
+// Call sends an envelope and waits for its response. The error matches ErrNotSent
+// if the peer certainly did not receive the envelope.
 func (c *Client) Call(ctx context.Context, address string, envelope *wire.Envelope) (*wire.Envelope, error) {
 	return c.peer(address).call(ctx, envelope)
 }
 
-// Send queues a one-way message. It never blocks, and the message may be lost.
+// Send queues a one-way message. It never blocks. The message is dropped if the send queue
+// is full or if there is no connection, in which case a dial is started. It may also be lost
+// in transit.
 func (c *Client) Send(address string, envelope *wire.Envelope) {
 	c.peer(address).send(envelope)
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closed = true
-	for _, known := range c.peers {
-		known.close()
+	for _, target := range c.peers {
+		target.close()
 	}
 }
 
 func (c *Client) peer(address string) *peer {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.peers[address]
-	if known == nil {
-		known = &peer{client: c, address: address, pending: make(map[uint64]chan *wire.Envelope)}
-		c.peers[address] = known
+	target := c.peers[address]
+	if target == nil {
+		target = &peer{client: c, address: address, pending: make(map[uint64]chan *wire.Envelope)}
+		c.peers[address] = target
 	}
-	return known
+	return target
 }
 
-// peer is the connection to one address and the calls that wait on it.
+// peer holds the connection to one address and the calls and streams that use it.
 type peer struct {
 	client   *Client
 	address  string
 	nextCall atomic.Uint64
 
-	mutex     sync.Mutex
-	current   *connection
-	dialing   bool
-	redialAt  time.Time
-	pending   map[uint64]chan *wire.Envelope
-	waitDials []chan struct{}
+	mutex       sync.Mutex
+	current     *connection
+	dialing     bool
+	nextDialAt  time.Time
+	pending     map[uint64]chan *wire.Envelope
+	dialWaiters []chan struct{}
 
-	streams streams
+	streamTable streamTable
 }
 
 func (p *peer) call(ctx context.Context, envelope *wire.Envelope) (*wire.Envelope, error) {
-	live, err := p.connect(ctx)
+	conn, err := p.connect(ctx)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
 	}
 	envelope.CallId = p.nextCall.Add(1)
-	answer := make(chan *wire.Envelope, 1)
+	waiter := make(chan *wire.Envelope, 1)
 	p.mutex.Lock()
-	p.pending[envelope.CallId] = answer
+	p.pending[envelope.CallId] = waiter
 	p.mutex.Unlock()
-	defer p.forget(envelope.CallId)
-	if !live.enqueue(envelope) {
+	defer p.removePending(envelope.CallId)
+	if !conn.enqueue(envelope) {
 		return nil, errors.Wrapf(ErrNotSent, "send queue of %s is full or closed", p.address)
 	}
 	select {
-	case reply := <-answer:
-		return reply, nil
-	case <-live.closed:
-		// The answer may have arrived just before the end.
+	case response := <-waiter:
+		return response, nil
+	case <-conn.closed:
+		// The response may have arrived just before the connection was closed.
 		select {
-		case reply := <-answer:
-			return reply, nil
+		case response := <-waiter:
+			return response, nil
 		default:
 			return nil, errors.Wrapf(ErrConnectionLost, "peer %s", p.address)
 		}
@@ -118,7 +121,7 @@
 	}
 }
 
-func (p *peer) forget(id uint64) {
+func (p *peer) removePending(id uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.pending, id)
@@ -126,31 +129,32 @@
 
 func (p *peer) send(envelope *wire.Envelope) {
 	p.mutex.Lock()
-	live := p.current
-	if live == nil {
+	conn := p.current
+	if conn == nil {
 		p.startDial()
 	}
 	p.mutex.Unlock()
-	if live != nil {
-		live.enqueue(envelope)
+	if conn != nil {
+		conn.enqueue(envelope)
 	}
 }
 
-// connect returns the live connection, dialling if there is none.
+// connect returns the current connection. If there is none, it starts a dial or joins the
+// one in progress, and waits for it.
 func (p *peer) connect(ctx context.Context) (*connection, error) {
 	p.mutex.Lock()
 	if p.current != nil {
-		live := p.current
+		conn := p.current
 		p.mutex.Unlock()
-		return live, nil
+		return conn, nil
 	}
 	done := make(chan struct{})
-	p.waitDials = append(p.waitDials, done)
+	p.dialWaiters = append(p.dialWaiters, done)
 	p.startDial()
 	if !p.dialing {
-		p.waitDials = nil
+		p.dialWaiters = nil
 		p.mutex.Unlock()
-		return nil, errors.Newf("peer %s did not answer a moment ago", p.address)
+		return nil, errors.Newf("dial to peer %s is suppressed by the redial backoff", p.address)
 	}
 	p.mutex.Unlock()
 	select {
@@ -161,15 +165,15 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.current == nil {
-		return nil, errors.Newf("cannot connect to peer %s", p.address)
+		return nil, errors.Newf("connect to peer %s failed", p.address)
 	}
 	return p.current, nil
 }
 
-// startDial begins a dial unless one runs or the last failed just now. The
-// caller holds the mutex.
+// startDial starts a dial unless one is in progress or the redial backoff has not
+// expired. The caller holds the mutex.
 func (p *peer) startDial() {
-	if p.dialing || time.Now().Before(p.redialAt) {
+	if p.dialing || time.Now().Before(p.nextDialAt) {
 		return
 	}
 	p.dialing = true
@@ -177,47 +181,48 @@
 }
 
 func (p *peer) dial() {
-	live, reader, err := p.open()
+	conn, reader, err := p.establish()
 	p.mutex.Lock()
 	p.dialing = false
-	p.redialAt = time.Now().Add(redialPause)
+	p.nextDialAt = time.Now().Add(redialBackoff)
 	if err == nil {
-		p.current = live
+		p.current = conn
 	}
-	for _, done := range p.waitDials {
+	for _, done := range p.dialWaiters {
 		close(done)
 	}
-	p.waitDials = nil
+	p.dialWaiters = nil
 	p.mutex.Unlock()
 	if err != nil {
 		return
 	}
-	go live.writeLoop()
-	// The loop ends with the connection; its error has no one to go to but the
-	// callers, who see the closed connection.
-	_ = live.readLoop(reader, p.receive)
-	p.drop(live)
+	go conn.writeLoop()
+	// readLoop returns when the connection is closed. Its error is not needed: pending calls
+	// and streams observe the closed connection.
+	_ = conn.readLoop(reader, p.receive)
+	p.clearCurrent(conn)
 }
 
-func (p *peer) open() (*connection, *bufio.Reader, error) {
-	socket, err := sockets.Dialer(dialTimeout, silenceLimit).Dial("tcp", p.address)
+// establish dials the peer and performs the handshake.
+func (p *peer) establish() (*connection, *bufio.Reader, error) {
+	socket, err := sockets.Dialer(dialTimeout, ackTimeout).Dial("tcp", p.address)
 	if err != nil {
 		return nil, nil, errors.Wrapf(err, "dial peer %s", p.address)
 	}
 	if p.client.tls != nil {
 		socket = tls.Client(socket, p.client.tls)
 	}
-	live := newConnection(socket)
+	conn := newConnection(socket)
 	reader := bufio.NewReaderSize(socket, bufferBytes)
-	if err := p.introduce(socket, reader); err != nil {
-		live.close()
+	if err := p.handshake(socket, reader); err != nil {
+		conn.close()
 		return nil, nil, err
 	}
-	return live, reader, nil
+	return conn, reader, nil
 }
 
-// introduce sends this node's Hello and checks the peer's.
-func (p *peer) introduce(socket net.Conn, reader *bufio.Reader) error {
+// handshake sends this node's Hello and checks the protocol version in the peer's.
+func (p *peer) handshake(socket net.Conn, reader *bufio.Reader) error {
 	if err := socket.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
 		return err
 	}
@@ -225,41 +230,42 @@
 	if err := wire.WriteFrame(socket, hello); err != nil {
 		return err
 	}
-	answer, err := wire.ReadFrame(reader)
+	response, err := wire.ReadFrame(reader)
 	if err != nil {
 		return err
 	}
-	if version := answer.GetHello().GetProtocolVersion(); version != wire.ProtocolVersion {
-		return errors.Newf("peer %s speaks protocol version %d, wanted %d", p.address, version, wire.ProtocolVersion)
+	if version := response.GetHello().GetProtocolVersion(); version != wire.ProtocolVersion {
+		return errors.Newf("peer %s uses protocol version %d, want %d", p.address, version, wire.ProtocolVersion)
 	}
 	return socket.SetDeadline(time.Time{})
 }
 
+// receive passes a response to the call or stream that it belongs to.
 func (p *peer) receive(envelope *wire.Envelope) {
 	if !envelope.GetReply() {
 		return
 	}
-	if known := p.streams.find(envelope.GetCallId()); known != nil {
-		known.deliver(envelope)
+	if stream := p.streamTable.find(envelope.GetCallId()); stream != nil {
+		stream.deliver(envelope)
 		return
 	}
 	if envelope.GetStream() != wire.StreamPart_STREAM_PART_NONE {
 		return
 	}
 	p.mutex.Lock()
-	answer := p.pending[envelope.GetCallId()]
+	waiter := p.pending[envelope.GetCallId()]
 	p.mutex.Unlock()
-	if answer == nil {
-		lateAnswers.Inc()
+	if waiter == nil {
+		lateResponses.Inc()
 		return
 	}
-	answer <- envelope
+	waiter <- envelope
 }
 
-func (p *peer) drop(live *connection) {
+func (p *peer) clearCurrent(conn *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.current == live {
+	if p.current == conn {
 		p.current = nil
 	}
 }
@@ -267,7 +273,8 @@
 func (p *peer) close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.redialAt = time.Now().Add(24 * time.Hour)
+	// Prevents new dials after the client is closed.
+	p.nextDialAt = time.Now().Add(24 * time.Hour)
 	if p.current != nil {
 		p.current.close()
 	}
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -1,5 +1,5 @@
-// Package transport carries wire envelopes between nodes over TCP: calls that
-// are answered, and one-way messages that may be lost.
+// Package transport carries wire envelopes between nodes over TCP: calls with a response,
+// bidirectional streams, and one-way messages that may be lost.
 package transport
 
 import (
@@ -13,46 +13,49 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// Errors of the transport. They tell whether a message can have been received.
+// Errors of the transport. They distinguish messages that were certainly not sent from
+// messages that the peer may have received.
 var (
 	// ErrNotSent means that the message certainly did not leave this node.
 	ErrNotSent = errors.New("message not sent")
-	// ErrConnectionLost means that the message may have been received, and that
-	// its answer will not come.
+	// ErrConnectionLost means that the peer may have received the message, and that
+	// no response will arrive.
 	ErrConnectionLost = errors.New("connection lost before the answer")
 )
 
 const (
-	// sendQueue is the number of envelopes that may wait for one connection.
-	sendQueue = 1024
-	// bufferBytes is the size of a connection's read and write buffers.
+	// sendQueueSize is the capacity, in envelopes, of the send queue of one connection.
+	sendQueueSize = 1024
+	// bufferBytes is the size of each of a connection's read and write buffers.
 	bufferBytes = 8 << 10
-	// writeTimeout is how long a peer may leave its receive window shut.
+	// writeTimeout is the write deadline of one envelope. It limits how long a peer may keep
+	// its TCP receive window closed.
 	writeTimeout = 5 * time.Second
-	// silenceLimit is how long a peer's machine may acknowledge nothing before the
-	// connection counts as lost and the next message opens another one: several times
-	// what TCP waits before it sends a lost packet again (0.2 s).
-	silenceLimit = time.Second
+	// ackTimeout is how long sent data may stay unacknowledged by the peer's host before the
+	// connection is considered lost and the next message opens a new one. It is several
+	// times the minimum TCP retransmission timeout (0.2 s).
+	ackTimeout = time.Second
 )
 
-// connection writes envelopes from a queue and reads them in a loop. Several
-// envelopes that wait together are sent with one write.
+// connection sends envelopes from a queue and receives envelopes in a read loop. Envelopes
+// that are queued at the same time are written as one batch through the write buffer.
 type connection struct {
-	socket   net.Conn
-	outgoing chan *wire.Envelope
-	closed   chan struct{}
-	once     sync.Once
+	socket    net.Conn
+	outgoing  chan *wire.Envelope
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 func newConnection(socket net.Conn) *connection {
 	return &connection{
 		socket:   socket,
-		outgoing: make(chan *wire.Envelope, sendQueue),
+		outgoing: make(chan *wire.Envelope, sendQueueSize),
 		closed:   make(chan struct{}),
 	}
 }
 
-// enqueue queues an envelope and reports whether it was taken.
+// enqueue queues an envelope without blocking. It returns false if the queue is full or the
+// connection is closed.
 func (c *connection) enqueue(envelope *wire.Envelope) bool {
 	select {
 	case <-c.closed:
@@ -67,10 +70,10 @@
 	}
 }
 
-// enqueueSurely queues an envelope, after those that wait if the queue is full. It never
-// blocks; what waits ends with the connection, which a peer that reads nothing loses after
-// writeTimeout.
-func (c *connection) enqueueSurely(envelope *wire.Envelope) {
+// enqueueOrWait queues an envelope. If the queue is full, a goroutine waits for room, so
+// that the caller never blocks. The goroutine ends at the latest when the connection is
+// closed, which happens after writeTimeout if the peer reads nothing.
+func (c *connection) enqueueOrWait(envelope *wire.Envelope) {
 	if c.enqueue(envelope) {
 		return
 	}
@@ -83,9 +86,9 @@
 }
 
 func (c *connection) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		// The socket is gone either way; there is nobody to tell.
+		// The socket is unusable after Close even if Close fails, so the error is ignored.
 		_ = c.socket.Close()
 	})
 }
@@ -122,8 +125,8 @@
 	}
 }
 
-// writeOne writes an envelope. Its time begins anew with each: a batch lasts as long as
-// there is more to send.
+// writeOne writes an envelope. The write deadline is reset for each envelope, because a
+// batch continues as long as the queue is not empty.
 func (c *connection) writeOne(writer *bufio.Writer, envelope *wire.Envelope) error {
 	if err := c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -131,7 +134,8 @@
 	return wire.WriteFrame(writer, envelope)
 }
 
-// readLoop hands every envelope to receive until the connection ends.
+// readLoop passes each received envelope to receive until reading fails or the connection
+// is closed.
 func (c *connection) readLoop(reader *bufio.Reader, receive func(*wire.Envelope)) error {
 	defer c.close()
 	for {
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-var lateAnswers = promauto.NewCounter(prometheus.CounterOpts{
+var lateResponses = promauto.NewCounter(prometheus.CounterOpts{
 	Name: "micahaven_transport_late_answers_total",
 	Help: "Answers that arrived after their caller had stopped waiting.",
 })
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -16,15 +16,15 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// Handler receives what other nodes send. Its methods run on the connection's
-// reading goroutine and must not block; a call is answered through reply, at
+// Handler processes envelopes from other nodes. Its methods run on the connection's
+// read goroutine and must not block. The response to a call is sent through reply, at
 // any later time and from any goroutine.
 type Handler interface {
 	HandleMessage(from *wire.Hello, envelope *wire.Envelope)
 	HandleCall(from *wire.Hello, envelope *wire.Envelope, reply func(*wire.Envelope))
 }
 
-// Server accepts connections of other nodes.
+// Server accepts connections from other nodes and passes their envelopes to a Handler.
 type Server struct {
 	hello    *wire.Hello
 	listener net.Listener
@@ -36,7 +36,7 @@
 	closed      bool
 }
 
-// NewServer returns a server on a listener. A nil tls configuration means plain
+// NewServer returns a server on a listener. A nil TLS configuration means plain
 // TCP.
 func NewServer(hello *wire.Hello, listener net.Listener, config *tls.Config, handler Handler, logger *zap.Logger) *Server {
 	if config != nil {
@@ -51,11 +51,12 @@
 	}
 }
 
-// acceptPause is how long the server waits while its process has no file descriptor left.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay before the next Accept after the process ran out of file
+// descriptors.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// Serve accepts connections until Close. A shortage of file descriptors passes, and
-// does not end it.
+// Serve accepts connections until Close. It retries Accept when the process or the system
+// is out of file descriptors, because that condition is temporary.
 func (s *Server) Serve() error {
 	for {
 		socket, err := s.listener.Accept()
@@ -64,8 +65,8 @@
 				return nil
 			}
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-				s.logger.Warn("peer connection not accepted", zap.Error(err))
-				time.Sleep(acceptPause)
+				s.logger.Warn("cannot accept peer connection, out of file descriptors", zap.Error(err))
+				time.Sleep(acceptRetryDelay)
 				continue
 			}
 			return errors.Wrap(err, "accept peer connection")
@@ -74,49 +75,49 @@
 	}
 }
 
-// Close stops accepting and ends all connections.
+// Close stops accepting and closes all connections.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
-	// Serve sees the closed listener; nothing else can fail here.
+	// Serve returns once the listener is closed. An error from Close changes nothing.
 	_ = s.listener.Close()
-	for live := range s.connections {
-		live.close()
+	for conn := range s.connections {
+		conn.close()
 	}
 }
 
 func (s *Server) serveConnection(socket net.Conn) {
-	live := newConnection(socket)
-	defer live.close()
-	if err := sockets.SetAckTimeout(socket, silenceLimit); err != nil {
-		s.logger.Warn("silence of a peer is not bounded", zap.Stringer("remote", socket.RemoteAddr()), zap.Error(err))
+	conn := newConnection(socket)
+	defer conn.close()
+	if err := sockets.SetAckTimeout(socket, ackTimeout); err != nil {
+		s.logger.Warn("cannot set acknowledgement timeout on peer connection", zap.Stringer("remote", socket.RemoteAddr()), zap.Error(err))
 	}
 	reader := bufio.NewReaderSize(socket, bufferBytes)
-	from, err := s.introduce(socket, reader)
+	from, err := s.handshake(socket, reader)
 	if err != nil {
 		badFrames.Inc()
-		s.logger.Warn("peer refused", zap.Stringer("remote", socket.RemoteAddr()), zap.Error(err))
+		s.logger.Warn("peer connection rejected, handshake failed", zap.Stringer("remote", socket.RemoteAddr()), zap.Error(err))
 		return
 	}
-	if !s.register(live) {
+	if !s.register(conn) {
 		return
 	}
-	defer s.unregister(live)
-	go live.writeLoop()
-	opened := &streams{}
-	err = live.readLoop(reader, func(envelope *wire.Envelope) { s.receive(opened, live, from, envelope) })
+	defer s.unregister(conn)
+	go conn.writeLoop()
+	streams := &streamTable{}
+	err = conn.readLoop(reader, func(envelope *wire.Envelope) { s.receive(streams, conn, from, envelope) })
 	if errors.Is(err, wire.ErrBadFrame) || errors.Is(err, wire.ErrFrameTooLarge) {
 		badFrames.Inc()
-		s.logger.Warn("peer broke the protocol", zap.String("peer", from.GetNode()), zap.Error(err))
+		s.logger.Warn("peer connection closed, invalid frame received", zap.String("peer", from.GetNode()), zap.Error(err))
 	} else if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-		s.logger.Debug("peer connection ended", zap.String("peer", from.GetNode()), zap.Error(err))
+		s.logger.Debug("peer connection failed", zap.String("peer", from.GetNode()), zap.Error(err))
 	}
 }
 
-func (s *Server) receive(opened *streams, live *connection, from *wire.Hello, envelope *wire.Envelope) {
+func (s *Server) receive(streams *streamTable, conn *connection, from *wire.Hello, envelope *wire.Envelope) {
 	if envelope.GetStream() != wire.StreamPart_STREAM_PART_NONE {
-		s.receiveStream(opened, live, from, envelope)
+		s.receiveStream(streams, conn, from, envelope)
 		return
 	}
 	if envelope.GetCallId() == 0 {
@@ -124,14 +125,15 @@
 		return
 	}
 	id := envelope.GetCallId()
-	s.handler.HandleCall(from, envelope, func(answer *wire.Envelope) {
-		answer.CallId = id
-		answer.Reply = true
-		live.enqueue(answer)
+	s.handler.HandleCall(from, envelope, func(response *wire.Envelope) {
+		response.CallId = id
+		response.Reply = true
+		conn.enqueue(response)
 	})
 }
 
-func (s *Server) introduce(socket net.Conn, reader *bufio.Reader) (*wire.Hello, error) {
+// handshake reads the peer's Hello, checks its protocol version and sends this node's Hello.
+func (s *Server) handshake(socket net.Conn, reader *bufio.Reader) (*wire.Hello, error) {
 	if err := socket.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
 		return nil, err
 	}
@@ -144,7 +146,7 @@
 		return nil, errors.Wrap(wire.ErrBadFrame, "first frame is not a hello")
 	}
 	if from.GetProtocolVersion() != wire.ProtocolVersion {
-		return nil, errors.Newf("field protocol_version: %d, allowed: %d", from.GetProtocolVersion(), wire.ProtocolVersion)
+		return nil, errors.Newf("unsupported protocol_version %d, want %d", from.GetProtocolVersion(), wire.ProtocolVersion)
 	}
 	hello := &wire.Envelope{Body: &wire.Envelope_Hello{Hello: s.hello}}
 	if err := wire.WriteFrame(socket, hello); err != nil {
@@ -153,18 +155,20 @@
 	return from, socket.SetDeadline(time.Time{})
 }
 
-func (s *Server) register(live *connection) bool {
+// register adds a connection to those that Close closes. It returns false if the server is
+// already closed.
+func (s *Server) register(conn *connection) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.connections[live] = struct{}{}
+	s.connections[conn] = struct{}{}
 	return true
 }
 
-func (s *Server) unregister(live *connection) {
+func (s *Server) unregister(conn *connection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.connections, live)
+	delete(s.connections, conn)
 }
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -9,38 +9,38 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// ErrStreamEnded means that the peer ended the stream, or that it was given up because
-// its receiver took too little from it.
+// ErrStreamEnded means that the peer ended the stream, or that the stream was closed because
+// its receive buffer overflowed.
 var ErrStreamEnded = errors.New("stream ended")
 
 const (
-	// streamBuffer is how many envelopes of a stream wait for its receiver. Senders bound
-	// what they send ahead below it; a stream that has more is given up, so that it never
-	// holds up the others on its connection.
-	streamBuffer = 64
-	// maxStreams bounds the streams that a peer may have open on one connection.
+	// streamBufferSize is the capacity, in envelopes, of a stream's receive buffer. Senders
+	// must limit what they send ahead to less than this. A stream whose buffer overflows is
+	// closed, so that it never blocks the other streams of its connection.
+	streamBufferSize = 64
+	// maxStreams is the maximum number of streams in one streamTable.
 	maxStreams = 4096
 )
 
-// Stream carries several envelopes in both directions over the connection of two nodes,
-// next to all others. It is safe for concurrent use, but for Receive, which one goroutine
-// calls.
+// Stream is a bidirectional sequence of envelopes, multiplexed with other streams and calls
+// over the connection between two nodes. It is safe for concurrent use, except that only one
+// goroutine may call Receive.
 type Stream struct {
 	id    uint64
 	reply bool
-	live  *connection
-	// forget takes the stream out of its connection's list.
-	forget   func()
-	incoming chan *wire.Envelope
-	ended    chan struct{}
-	endOnce  sync.Once
-	closing  sync.Once
+	conn  *connection
+	// unregister removes the stream from its streamTable.
+	unregister func()
+	incoming   chan *wire.Envelope
+	ended      chan struct{}
+	endOnce    sync.Once
+	closeOnce  sync.Once
 }
 
-func newStream(id uint64, reply bool, live *connection, forget func()) *Stream {
+func newStream(id uint64, reply bool, conn *connection, unregister func()) *Stream {
 	return &Stream{
-		id: id, reply: reply, live: live, forget: forget,
-		incoming: make(chan *wire.Envelope, streamBuffer), ended: make(chan struct{}),
+		id: id, reply: reply, conn: conn, unregister: unregister,
+		incoming: make(chan *wire.Envelope, streamBufferSize), ended: make(chan struct{}),
 	}
 }
 
@@ -51,22 +51,23 @@
 }
 
 func (s *Stream) send(envelope *wire.Envelope, part wire.StreamPart) bool {
-	return s.live.enqueue(s.address(envelope, part))
+	return s.conn.enqueue(s.setHeader(envelope, part))
 }
 
-// SendWhole queues an envelope of several that make up one whole, and waits for room; false
-// means that it certainly was not sent, because the context or the connection ended.
+// SendWhole queues an envelope and blocks while the send queue is full, for messages that
+// consist of several envelopes, all of which are needed. False means that the envelope
+// certainly was not sent, because the context ended or the connection was closed.
 func (s *Stream) SendWhole(ctx context.Context, envelope *wire.Envelope) bool {
 	select {
-	case s.live.outgoing <- s.address(envelope, wire.StreamPart_STREAM_PART_DATA):
+	case s.conn.outgoing <- s.setHeader(envelope, wire.StreamPart_STREAM_PART_DATA):
 		return true
-	case <-s.live.closed:
+	case <-s.conn.closed:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-func (s *Stream) address(envelope *wire.Envelope, part wire.StreamPart) *wire.Envelope {
+func (s *Stream) setHeader(envelope *wire.Envelope, part wire.StreamPart) *wire.Envelope {
 	envelope.CallId, envelope.Reply, envelope.Stream = s.id, s.reply, part
 	return envelope
 }
@@ -80,12 +81,13 @@
 		return envelope, nil
 	case <-s.ended:
 		err = ErrStreamEnded
-	case <-s.live.closed:
+	case <-s.conn.closed:
 		err = ErrConnectionLost
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	// What arrived before the end counts; a process that was paused finds both at once.
+	// An envelope that arrived before the end is still returned: after a pause of the process,
+	// the envelope and the end are ready at the same time, and select chooses at random.
 	select {
 	case envelope := <-s.incoming:
 		return envelope, nil
@@ -94,26 +96,28 @@
 	}
 }
 
-// SendLast queues the last envelope and ends the stream with it. It is sent unless the
-// connection is lost.
+// SendLast queues the last envelope, which also ends the stream. It never blocks. The
+// envelope waits for room if the send queue is full and is dropped only if the connection is
+// lost.
 func (s *Stream) SendLast(envelope *wire.Envelope) {
-	s.closing.Do(func() {
-		s.forget()
-		s.live.enqueueSurely(s.address(envelope, wire.StreamPart_STREAM_PART_END))
+	s.closeOnce.Do(func() {
+		s.unregister()
+		s.conn.enqueueOrWait(s.setHeader(envelope, wire.StreamPart_STREAM_PART_END))
 	})
 }
 
-// Close ends the stream and tells the peer, unless that ended it before.
+// Close ends the stream and notifies the peer, unless the stream has already ended.
 func (s *Stream) Close() {
 	select {
 	case <-s.ended:
-		s.closing.Do(s.forget)
+		s.closeOnce.Do(s.unregister)
 	default:
 		s.SendLast(&wire.Envelope{})
 	}
 }
 
-// deliver takes an envelope from the connection's reading goroutine and never blocks.
+// deliver puts a received envelope into the receive buffer. It is called by the connection's
+// read goroutine and never blocks.
 func (s *Stream) deliver(envelope *wire.Envelope) {
 	last := envelope.GetStream() == wire.StreamPart_STREAM_PART_END
 	if last && envelope.GetBody() == nil {
@@ -123,7 +127,8 @@
 	select {
 	case s.incoming <- envelope:
 	default:
-		// The peer is told first: a stream that has ended tells nobody.
+		// Close must come before end, because it does not notify the peer once the stream has
+		// ended.
 		s.Close()
 		last = true
 	}
@@ -134,14 +139,14 @@
 
 func (s *Stream) end() { s.endOnce.Do(func() { close(s.ended) }) }
 
-// streams are those of one connection or of one peer, by their ids.
-type streams struct {
+// streamTable holds the open streams of one accepted connection or of one peer, by ID.
+type streamTable struct {
 	mutex sync.Mutex
 	byID  map[uint64]*Stream
 }
 
-// add makes a stream unless there are too many.
-func (s *streams) add(id uint64, reply bool, live *connection) *Stream {
+// add creates and registers a stream. It returns nil if maxStreams are open.
+func (s *streamTable) add(id uint64, reply bool, conn *connection) *Stream {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.byID) >= maxStreams {
@@ -150,67 +155,69 @@
 	if s.byID == nil {
 		s.byID = make(map[uint64]*Stream)
 	}
-	added := newStream(id, reply, live, func() { s.remove(id) })
-	s.byID[id] = added
-	return added
+	stream := newStream(id, reply, conn, func() { s.remove(id) })
+	s.byID[id] = stream
+	return stream
 }
 
-func (s *streams) remove(id uint64) {
+func (s *streamTable) remove(id uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.byID, id)
 }
 
-func (s *streams) find(id uint64) *Stream {
+func (s *streamTable) find(id uint64) *Stream {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.byID[id]
 }
 
-// Open sends the first envelope of a stream to a node. The error matches ErrNotSent if
-// the envelope certainly did not leave this node.
+// Open opens a stream to a node by sending its first envelope. The error matches
+// ErrNotSent if the envelope certainly did not leave this node.
 func (c *Client) Open(ctx context.Context, address string, first *wire.Envelope) (*Stream, error) {
 	p := c.peer(address)
-	live, err := p.connect(ctx)
+	conn, err := p.connect(ctx)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
 	}
-	opened := p.streams.add(p.nextCall.Add(1), false, live)
-	if opened == nil {
-		return nil, errors.Wrapf(ErrNotSent, "too many streams to %s", address)
+	stream := p.streamTable.add(p.nextCall.Add(1), false, conn)
+	if stream == nil {
+		return nil, errors.Wrapf(ErrNotSent, "too many open streams to %s", address)
 	}
-	if !opened.send(first, wire.StreamPart_STREAM_PART_OPEN) {
-		opened.forget()
+	if !stream.send(first, wire.StreamPart_STREAM_PART_OPEN) {
+		stream.unregister()
 		return nil, errors.Wrapf(ErrNotSent, "send queue of %s is full or closed", address)
 	}
-	return opened, nil
+	return stream, nil
 }
 
-// StreamHandler is a Handler that takes streams. HandleStream runs on a goroutine of its
-// own; it receives the first envelope from the stream, and closes it.
+// StreamHandler is a Handler that accepts streams. HandleStream runs on its own goroutine,
+// gets the first envelope from stream.Receive, and must close the stream.
 type StreamHandler interface {
 	HandleStream(from *wire.Hello, stream *Stream)
 }
 
-// receiveStream takes an envelope of a stream that the peer opened.
-func (s *Server) receiveStream(opened *streams, live *connection, from *wire.Hello, envelope *wire.Envelope) {
+// receiveStream delivers an envelope to the stream that the peer opened, or accepts a new
+// stream if the envelope opens one. If streams are not supported or too many are open, it
+// sends the end of the stream in response.
+func (s *Server) receiveStream(streams *streamTable, conn *connection, from *wire.Hello, envelope *wire.Envelope) {
 	id := envelope.GetCallId()
-	if known := opened.find(id); known != nil {
-		known.deliver(envelope)
+	if stream := streams.find(id); stream != nil {
+		stream.deliver(envelope)
 		return
 	}
 	if envelope.GetStream() != wire.StreamPart_STREAM_PART_OPEN {
 		return
 	}
-	var added *Stream
-	handler, takes := s.handler.(StreamHandler)
-	if takes {
-		added = opened.add(id, true, live)
+	var accepted *Stream
+	handler, supported := s.handler.(StreamHandler)
+	if supported {
+		accepted = streams.add(id, true, conn)
 	}
-	if added == nil {
-		live.enqueue(&wire.Envelope{CallId: id, Reply: true, Stream: wire.StreamPart_STREAM_PART_END})
+	if accepted == nil {
+		conn.enqueue(&wire.Envelope{CallId: id, Reply: true, Stream: wire.StreamPart_STREAM_PART_END})
 		return
 	}
-	added.deliver(envelope)
-	go handler.HandleStream(from, added)
+	accepted.deliver(envelope)
+	go handler.HandleStream(from, accepted)
 }
--- a/internal/transport/stream_test.go
+++ b/internal/transport/stream_test.go
@@ -15,8 +15,8 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// streamHandler sends back what comes on a stream, and floods a stream that begins with
-// "flood" with more than fits into its buffer.
+// streamHandler echoes the envelopes of a stream. For "flood" it first sends more envelopes
+// than fit into the receive buffer, and for "drop" it closes the server.
 type streamHandler struct{ echoHandler }
 
 func (h *streamHandler) HandleStream(_ *wire.Hello, stream *Stream) {
@@ -27,7 +27,7 @@
 			return
 		}
 		if envelope.GetProbeRequest().GetGroup() == "flood" {
-			for range 2 * streamBuffer {
+			for range 2 * streamBufferSize {
 				stream.Send(probe("flood"))
 			}
 		}
@@ -38,7 +38,7 @@
 	}
 }
 
-func startStreams(t *testing.T) string {
+func startStreamServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,89 +60,90 @@
 	return stream
 }
 
-func expect(t *testing.T, stream *Stream, wanted string) {
+func expectProbe(t *testing.T, stream *Stream, want string) {
 	t.Helper()
-	expectWithin(t.Context(), t, stream, wanted)
+	expectProbeWithContext(t.Context(), t, stream, want)
 }
 
-func expectWithin(ctx context.Context, t *testing.T, stream *Stream, wanted string) {
+func expectProbeWithContext(ctx context.Context, t *testing.T, stream *Stream, want string) {
 	t.Helper()
 	envelope, err := stream.Receive(ctx)
-	if err != nil || envelope.GetProbeRequest().GetGroup() != wanted {
-		t.Fatalf("got %v, error %v, wanted %q", envelope, err, wanted)
+	if err != nil || envelope.GetProbeRequest().GetGroup() != want {
+		t.Fatalf("got %v, error %v, want %q", envelope, err, want)
 	}
 }
 
-// Streams on one connection carry several envelopes each, in order and apart.
+// Streams on one connection each deliver their own envelopes in order.
 func TestStreamsAreApart(t *testing.T) {
-	address, client := startStreams(t), newTestClient(t, wire.ProtocolVersion)
-	one, two := openStream(t, client, address, "1"), openStream(t, client, address, "2")
-	one.Send(probe("1b"))
-	two.Send(probe("2b"))
-	expect(t, two, "2")
-	expect(t, one, "1")
-	expect(t, one, "1b")
-	expect(t, two, "2b")
+	address, client := startStreamServer(t), newTestClient(t, wire.ProtocolVersion)
+	first, second := openStream(t, client, address, "1"), openStream(t, client, address, "2")
+	first.Send(probe("1b"))
+	second.Send(probe("2b"))
+	expectProbe(t, second, "2")
+	expectProbe(t, first, "1")
+	expectProbe(t, first, "1b")
+	expectProbe(t, second, "2b")
 }
 
-// A stream whose receiver takes nothing is given up, and the others go on.
+// A stream whose receiver does not read is closed when its buffer overflows, and the other
+// streams on the connection continue.
 func TestFullStreamHoldsUpNoOther(t *testing.T) {
-	address, client := startStreams(t), newTestClient(t, wire.ProtocolVersion)
+	address, client := startStreamServer(t), newTestClient(t, wire.ProtocolVersion)
 	full := openStream(t, client, address, "flood")
 	other := openStream(t, client, address, "a")
-	expect(t, other, "a")
+	expectProbe(t, other, "a")
 	select {
 	case <-full.ended:
 	case <-time.After(2 * time.Second):
-		t.Fatal("a stream that overflowed goes on")
+		t.Fatal("stream is still open after its buffer overflowed")
 	}
 	other.Send(probe("b"))
-	expect(t, other, "b")
+	expectProbe(t, other, "b")
 	for {
 		if _, err := full.Receive(t.Context()); err != nil {
 			if !errors.Is(err, ErrStreamEnded) {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want ErrStreamEnded", err)
 			}
 			return
 		}
 	}
 }
 
-// The end of the connection ends its streams.
+// Streams fail with ErrConnectionLost when their connection is closed.
 func TestStreamsEndWithTheirConnection(t *testing.T) {
-	address, client := startStreams(t), newTestClient(t, wire.ProtocolVersion)
+	address, client := startStreamServer(t), newTestClient(t, wire.ProtocolVersion)
 	stream := openStream(t, client, address, "drop")
 	for {
 		if _, err := stream.Receive(t.Context()); err != nil {
 			if !errors.Is(err, ErrConnectionLost) {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want ErrConnectionLost", err)
 			}
 			return
 		}
 	}
 }
 
-// The last envelope of a stream is sent also if the connection's queue is full just then:
-// it is an answer, or says that a caller left.
+// The last envelope of a stream is sent even if the send queue is full when it is queued.
+// It is a response, or reports that a client disconnected.
 func TestLastEnvelopePassesAFullQueue(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	live := newConnection(near)
-	defer live.close()
-	stream := (&streams{}).add(1, false, live)
+	local, remote := net.Pipe()
+	defer remote.Close()
+	conn := newConnection(local)
+	defer conn.close()
+	stream := (&streamTable{}).add(1, false, conn)
 	for stream.Send(probe("fills")) {
 		continue
 	}
 	stream.SendLast(probe("last"))
-	go live.writeLoop()
-	reader := bufio.NewReader(far)
-	if err := far.SetReadDeadline(time.Now().Add(2 * time.Second)); err != nil {
+	go conn.writeLoop()
+	reader := bufio.NewReader(remote)
+	if err := remote.SetReadDeadline(time.Now().Add(2 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	for {
 		envelope, err := wire.ReadFrame(reader)
 		if err != nil {
-			t.Fatalf("the last envelope did not come: %v", err)
+			t.Fatalf("last envelope was not received: %v", err)
 		}
 		if envelope.GetStream() == wire.StreamPart_STREAM_PART_END {
 			return
@@ -150,88 +151,89 @@
 	}
 }
 
-// A part of a whole waits for room in a full queue, and no longer than its context.
+// SendWhole blocks while the send queue is full, but not beyond the end of its context.
 func TestPartOfAWholeWaitsForRoom(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	live := newConnection(near)
-	defer live.close()
-	stream := (&streams{}).add(1, false, live)
+	local, remote := net.Pipe()
+	defer remote.Close()
+	conn := newConnection(local)
+	defer conn.close()
+	stream := (&streamTable{}).add(1, false, conn)
 	for stream.Send(probe("fills")) {
 		continue
 	}
-	ended, end := context.WithCancel(t.Context())
-	end()
-	if stream.SendWhole(ended, probe("part")) {
-		t.Error("queued where there is no room")
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	if stream.SendWhole(cancelled, probe("part")) {
+		t.Error("SendWhole queued an envelope in a full queue")
 	}
 	queued := make(chan bool, 1)
 	go func() { queued <- stream.SendWhole(t.Context(), probe("part")) }()
-	go live.writeLoop()
-	go func() { _, _ = io.Copy(io.Discard, far) }()
+	go conn.writeLoop()
+	go func() { _, _ = io.Copy(io.Discard, remote) }()
 	if !<-queued {
-		t.Error("not queued though there is room")
+		t.Error("SendWhole did not queue an envelope after the queue had room")
 	}
 }
 
-// A part of a whole does not wait for room on a connection that is lost.
+// SendWhole stops waiting for room in the send queue when the connection is closed.
 func TestPartOfAWholeEndsWithTheConnection(t *testing.T) {
-	near, _ := net.Pipe()
-	live := newConnection(near)
-	stream := (&streams{}).add(1, false, live)
-	// Nothing takes from the queue.
+	local, _ := net.Pipe()
+	conn := newConnection(local)
+	stream := (&streamTable{}).add(1, false, conn)
+	// No write loop drains the queue.
 	for stream.Send(probe("fills")) {
 		continue
 	}
-	time.AfterFunc(10*time.Millisecond, live.close)
+	time.AfterFunc(10*time.Millisecond, conn.close)
 	if stream.SendWhole(t.Context(), probe("part")) {
-		t.Error("queued on a connection that is lost")
+		t.Error("SendWhole queued an envelope on a closed connection")
 	}
 }
 
-// What has arrived counts also if the time for it is over: a process that was paused finds
-// both at once.
+// Receive returns an envelope that has arrived even if its context has ended. After a pause
+// of the process, the envelope and the end of the context are ready at the same time.
 func TestWhatArrivedCountsAfterTheTime(t *testing.T) {
-	near, _ := net.Pipe()
-	live := newConnection(near)
-	defer live.close()
+	local, _ := net.Pipe()
+	conn := newConnection(local)
+	defer conn.close()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		stream := (&streams{}).add(1, false, live)
+		stream := (&streamTable{}).add(1, false, conn)
 		stream.deliver(probe("answer"))
-		expectWithin(ctx, t, stream, "answer")
+		expectProbeWithContext(ctx, t, stream, "answer")
 	}
 }
 
-// deadlineSocket counts the writes under one deadline.
+// deadlineSocket counts the writes since the last SetWriteDeadline and records the maximum.
 type deadlineSocket struct {
 	net.Conn
-	since, most int
+	writes, maxWrites int
 }
 
-func (s *deadlineSocket) SetWriteDeadline(time.Time) error { s.since = 0; return nil }
+func (s *deadlineSocket) SetWriteDeadline(time.Time) error { s.writes = 0; return nil }
 
 func (s *deadlineSocket) Write(from []byte) (int, error) {
-	s.since++
-	s.most = max(s.most, s.since)
+	s.writes++
+	s.maxWrites = max(s.maxWrites, s.writes)
 	return len(from), nil
 }
 
-// A peer that reads on is not lost because there is always more to send, as on a slow link
-// with long answers: the time for writing begins anew with each envelope.
+// Guards against closing the connection to a peer that keeps reading but whose send queue
+// never empties, as on a slow link with large responses: the write deadline must be reset
+// for each envelope, not once per batch.
 func TestBusyConnectionIsNotLost(t *testing.T) {
 	socket := &deadlineSocket{}
-	live := newConnection(socket)
+	conn := newConnection(socket)
 	long := probe(strings.Repeat("a", 2*bufferBytes))
-	for live.enqueue(long) {
+	for conn.enqueue(long) {
 		continue
 	}
-	if err := live.writeBatch(bufio.NewWriterSize(socket, bufferBytes), <-live.outgoing); err != nil {
+	if err := conn.writeBatch(bufio.NewWriterSize(socket, bufferBytes), <-conn.outgoing); err != nil {
 		t.Fatal(err)
 	}
 	const writesOfOne = 4
-	if socket.most > writesOfOne {
-		t.Errorf("%d writes under one deadline, wanted those of one envelope", socket.most)
+	if socket.maxWrites > writesOfOne {
+		t.Errorf("%d writes under one deadline, want at most the writes of one envelope", socket.maxWrites)
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -11,8 +11,8 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// echoHandler answers probes with their group's name, and drops the connection
-// at the group "drop".
+// echoHandler responds to a probe with the name of its group. For the group "drop" it
+// closes the server instead.
 type echoHandler struct {
 	server *Server
 }
@@ -61,7 +61,7 @@
 		go func() {
 			answer, err := client.Call(context.Background(), address, probe(name))
 			if err == nil && answer.GetFailure().GetMessage() != name {
-				err = errors.Newf("call %s got the answer %v", name, answer)
+				err = errors.Newf("call %s got response %v", name, answer)
 			}
 			failures <- err
 		}()
@@ -73,7 +73,8 @@
 	}
 }
 
-// TestErrorsTellWhetherACallWasSent matters because "not run" rests on it.
+// The outcome "not run" relies on ErrNotSent: a client may repeat a request that was not
+// run, so a call that may have reached the peer must not match ErrNotSent.
 func TestErrorsTellWhetherACallWasSent(t *testing.T) {
 	client := newTestClient(t, wire.ProtocolVersion)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,17 +83,17 @@
 	}
 	_ = listener.Close()
 	if _, err := client.Call(context.Background(), listener.Addr().String(), probe("a")); !errors.Is(err, ErrNotSent) {
-		t.Errorf("nobody listens: %v, want ErrNotSent", err)
+		t.Errorf("no listener: got error %v, want ErrNotSent", err)
 	}
 	if _, err := client.Call(context.Background(), startServer(t), probe("drop")); !errors.Is(err, ErrConnectionLost) {
-		t.Errorf("connection dropped after the call: %v, want ErrConnectionLost", err)
+		t.Errorf("connection closed after the call: got error %v, want ErrConnectionLost", err)
 	}
 }
 
 func TestOtherProtocolVersionsAreRefused(t *testing.T) {
 	client := newTestClient(t, wire.ProtocolVersion+1)
 	if _, err := client.Call(context.Background(), startServer(t), probe("a")); !errors.Is(err, ErrNotSent) {
-		t.Errorf("another protocol version: %v, want ErrNotSent", err)
+		t.Errorf("different protocol version: got error %v, want ErrNotSent", err)
 	}
 }
 
@@ -106,6 +107,6 @@
 		t.Fatal(err)
 	}
 	if _, err := socket.Read(make([]byte, 1)); err == nil {
-		t.Error("garbage was answered")
+		t.Error("server responded to an invalid frame")
 	}
 }
