--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -33,7 +33,7 @@
 )
 
 // Do sends a request to servers until one answers or the request has to be given up.
-func (d *Dispatcher) Do(ctx context.Context, request *Request) (*upstream.Answer, Trace, error) {
+func (d *Dispatcher) Do(ctx context.Context, request *Request) (*upstream.Response, Trace, error) {
 	ctx, bounds := d.ending.Bound(ctx, request.deadline())
 	answer, trace, err := d.sendUnlessPoisoned(ctx, request)
 	var refusal *Refusal
@@ -52,7 +52,7 @@
 }
 
 // sendUnlessPoisoned sends a request unless it is known to crash servers.
-func (d *Dispatcher) sendUnlessPoisoned(ctx context.Context, request *Request) (*upstream.Answer, Trace, error) {
+func (d *Dispatcher) sendUnlessPoisoned(ctx context.Context, request *Request) (*upstream.Response, Trace, error) {
 	if refusal := d.refusePoisoned(request); refusal != nil {
 		return nil, Trace{}, refusal
 	}
@@ -61,9 +61,9 @@
 
 // sendWithRetries sends a request from this node and retries at other servers as far as the
 // route and the retry budget allow.
-func (d *Dispatcher) sendWithRetries(ctx context.Context, request *Request) (*upstream.Answer, Trace, error) {
+func (d *Dispatcher) sendWithRetries(ctx context.Context, request *Request) (*upstream.Response, Trace, error) {
 	var trace Trace
-	var lastAnswer *upstream.Answer
+	var lastAnswer *upstream.Response
 	mayHaveRun := false
 	var cause error
 	excluded := make(map[discovery.ServerID]bool)
@@ -156,7 +156,7 @@
 
 // finalError returns the error for a request that no server answered, or nil if a server's
 // error answer is passed on. cause is why the last attempt failed.
-func (d *Dispatcher) finalError(ctx context.Context, request *Request, mayHaveRun bool, last *upstream.Answer, cause error) error {
+func (d *Dispatcher) finalError(ctx context.Context, request *Request, mayHaveRun bool, last *upstream.Response, cause error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled) && !ending.EndedByShutdown(ctx):
 		return ErrCanceled
@@ -174,7 +174,7 @@
 }
 
 // send sends a request to one server.
-func (d *Dispatcher) send(ctx context.Context, request *Request, s *server, deadline time.Time) (*upstream.Answer, attemptOutcome, error) {
+func (d *Dispatcher) send(ctx context.Context, request *Request, s *server, deadline time.Time) (*upstream.Response, attemptOutcome, error) {
 	startedAt := time.Now()
 	cold := d.targetsColdRange(startedAt, request)
 	outgoing := d.outgoing(request, s, deadline)
@@ -222,7 +222,7 @@
 		upstream.Field{Name: d.headers.Target, Value: s.id.Instance()})
 	return &upstream.Request{
 		Method: request.Method, URI: request.URI, Host: request.Host, Fields: fields,
-		Body: request.Body, Rest: request.Rest, Silence: ackTimeout(request),
+		Body: request.Body, Rest: request.Rest, AckTimeout: ackTimeout(request),
 		IDHeader: d.headers.RequestID, ID: request.ID,
 	}
 }
@@ -251,7 +251,7 @@
 )
 
 // classify determines the outcome of an attempt from the server's answer.
-func (d *Dispatcher) classify(request *Request, answer *upstream.Answer) (attemptOutcome, error) {
+func (d *Dispatcher) classify(request *Request, answer *upstream.Response) (attemptOutcome, error) {
 	if answer.Header.Get(d.headers.NotExecuted) != "" || answer.Status == statusMisdirected {
 		return rejected, errors.Newf("server refused with %d", answer.Status)
 	}
@@ -276,7 +276,7 @@
 // longer holds the key, so requests for its range are held back until a newer owner map
 // arrives or the hold expires. Any other rejection means that the server is full, so it
 // gets no requests for a moment.
-func (d *Dispatcher) rejected(request *Request, s *server, answer *upstream.Answer) {
+func (d *Dispatcher) rejected(request *Request, s *server, answer *upstream.Response) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	current := d.views.Current()
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -67,7 +67,7 @@
 		return view.Owners{}, false
 	}
 	service, _ := current.Table.Service(request.Service)
-	return current.Owners[request.Service], service.KeyDivided
+	return current.Owners[request.Service], service.ShardedByKey
 }
 
 // chooseOwner returns the owner of the request's key if it can take the request now, or
--- a/internal/dispatch/coldranges.go
+++ b/internal/dispatch/coldranges.go
@@ -130,7 +130,7 @@
 		return
 	}
 	for name, owners := range current.Owners {
-		if service, known := current.Table.Service(name); known && service.KeyDivided {
+		if service, known := current.Table.Service(name); known && service.ShardedByKey {
 			d.coldRangesOf(name).update(now, owners.Owners, service.KeyWarmUp)
 		}
 	}
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -63,7 +63,7 @@
 
 // sendGuarded sends a request like sendHedged unless it is suspected to crash servers. A
 // suspected request is sent to one server only, or refused with an error.
-func (d *Dispatcher) sendGuarded(ctx context.Context, request *Request, s *server, deadline time.Time, trace *Trace, excluded map[discovery.ServerID]bool) (*server, *upstream.Answer, attemptOutcome, error) {
+func (d *Dispatcher) sendGuarded(ctx context.Context, request *Request, s *server, deadline time.Time, trace *Trace, excluded map[discovery.ServerID]bool) (*server, *upstream.Response, attemptOutcome, error) {
 	decision := d.guard.Admit(ctx, request.identity)
 	switch {
 	case decision.Refused:
@@ -90,7 +90,7 @@
 // accepts new connections or does not answer at all, whereas the machine of a crashed one
 // refuses them. A draining server that exits did not crash.
 func (d *Dispatcher) detectCrash(ctx context.Context, request *Request, s *server, cause error) {
-	if ctx.Err() != nil || !errors.Is(cause, upstream.ErrNoAnswer) || errors.Is(cause, upstream.ErrSilent) {
+	if ctx.Err() != nil || !errors.Is(cause, upstream.ErrNoResponse) || errors.Is(cause, upstream.ErrUnacknowledged) {
 		return
 	}
 	d.mutex.Lock()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -84,9 +84,9 @@
 	budgets  map[string]*budget
 	// returns holds, by service, when refused callers are expected to retry. For
 	// key-divided services that is kept with each server.
-	returns map[string]*schedule.Returns
+	returns map[string]*schedule.RetrySchedule
 	// firstTries holds, by route, the estimate of when callers sent their first attempt.
-	firstTries map[string]*schedule.FirstTries
+	firstTries map[string]*schedule.FirstAttempts
 	// latencyQuantiles holds, by route, the latency after which a hedged attempt is
 	// considered.
 	latencyQuantiles map[string]*schedule.Quantile
@@ -147,9 +147,9 @@
 		lapsed:           make(map[discovery.ServerID]*server),
 		waiting:          make(map[string][]*waiter),
 		budgets:          make(map[string]*budget),
-		returns:          make(map[string]*schedule.Returns),
+		returns:          make(map[string]*schedule.RetrySchedule),
 		latencyQuantiles: make(map[string]*schedule.Quantile),
-		firstTries:       make(map[string]*schedule.FirstTries),
+		firstTries:       make(map[string]*schedule.FirstAttempts),
 		moving:           make(map[movingRange]time.Time),
 		samples:          make(map[string]*samples),
 		cold:             make(map[string]*coldRanges),
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -33,10 +33,10 @@
 		s := w.server(discovery.ServerID(id))
 		s.outstanding++
 		if id == "s0" {
-			w.finish(now, request, s, sentAttempt{elapsed: 5 * time.Millisecond}, resultOf(failed, &upstream.Answer{Status: 500}))
+			w.finish(now, request, s, sentAttempt{elapsed: 5 * time.Millisecond}, resultOf(failed, &upstream.Response{Status: 500}))
 			continue
 		}
-		w.finish(now, request, s, sentAttempt{elapsed: 100 * time.Millisecond}, resultOf(answered, &upstream.Answer{Status: 200}))
+		w.finish(now, request, s, sentAttempt{elapsed: 100 * time.Millisecond}, resultOf(answered, &upstream.Response{Status: 200}))
 	}
 	if sent["s0"] > requests/10 {
 		t.Errorf("the failing server got %d of %d requests: %v", sent["s0"], requests, sent)
@@ -75,7 +75,7 @@
 	s.outstanding++
 	now := time.Now()
 	request := &Request{Service: "divided", HasKey: true, Route: plainRoute()}
-	w.finish(now, request, s, sentAttempt{elapsed: 5 * time.Millisecond}, resultOf(answered, &upstream.Answer{Status: 500}))
+	w.finish(now, request, s, sentAttempt{elapsed: 5 * time.Millisecond}, resultOf(answered, &upstream.Response{Status: 500}))
 	if got := w.chooseID(now, "divided"); got != "s0" {
 		t.Errorf("chose %q for the next request, want the owner", got)
 	}
--- a/internal/dispatch/handoff.go
+++ b/internal/dispatch/handoff.go
@@ -41,7 +41,7 @@
 type HandoffSender interface {
 	// Do returns the home's answer. Its error is one of this package's errors, or matches
 	// one of the errors above. limit is when the request must be answered.
-	Do(ctx context.Context, request *Request, limit time.Time, to Destination) (*upstream.Answer, Trace, error)
+	Do(ctx context.Context, request *Request, limit time.Time, to Destination) (*upstream.Response, Trace, error)
 }
 
 // IncomingHandoff describes a request that another node handed off to this one, its home. The
@@ -88,7 +88,7 @@
 
 // sendViaHome hands a request off to the home of its server, or sends it from this node if
 // it has none or no home accepts it.
-func (d *Dispatcher) sendViaHome(ctx context.Context, request *Request) (*upstream.Answer, Trace, error) {
+func (d *Dispatcher) sendViaHome(ctx context.Context, request *Request) (*upstream.Response, Trace, error) {
 	to, handOff := d.destination(request)
 	if !handOff {
 		return d.sendDirect(ctx, request)
@@ -115,7 +115,7 @@
 }
 
 // sendDirect sends a request from this node.
-func (d *Dispatcher) sendDirect(ctx context.Context, request *Request) (*upstream.Answer, Trace, error) {
+func (d *Dispatcher) sendDirect(ctx context.Context, request *Request) (*upstream.Response, Trace, error) {
 	d.sample(request)
 	answer, trace, err := d.sendWithRetries(ctx, request)
 	d.recordAnswerSize(request, answer)
@@ -123,7 +123,7 @@
 }
 
 // recordAnswerSize updates the mean answer size of the request's route.
-func (d *Dispatcher) recordAnswerSize(request *Request, answer *upstream.Answer) {
+func (d *Dispatcher) recordAnswerSize(request *Request, answer *upstream.Response) {
 	if d.handoffSender == nil || answer == nil {
 		return
 	}
@@ -149,7 +149,7 @@
 // on the home's link was once sent 0.3 s after its sender had given it up. It is therefore
 // counted as one of the route's attempts, and the final outcome is reported as unknown
 // rather than not executed.
-func (d *Dispatcher) retryAfterHomeLoss(ctx context.Context, request *Request, trace Trace, cause error) (*upstream.Answer, Trace, error) {
+func (d *Dispatcher) retryAfterHomeLoss(ctx context.Context, request *Request, trace Trace, cause error) (*upstream.Response, Trace, error) {
 	sent := max(1, trace.Attempts)
 	repeatable := request.Route.Repeatable && sent < request.Route.MaxAttempts && time.Until(d.deadline(request)) >= minAttemptTime
 	if trace.Attempts > 0 {
--- a/internal/dispatch/handoff_test.go
+++ b/internal/dispatch/handoff_test.go
@@ -20,11 +20,11 @@
 type fakeHandoff struct {
 	err    error
 	trace  Trace
-	answer *upstream.Answer
+	answer *upstream.Response
 	count  int
 }
 
-func (f *fakeHandoff) Do(context.Context, *Request, time.Time, Destination) (*upstream.Answer, Trace, error) {
+func (f *fakeHandoff) Do(context.Context, *Request, time.Time, Destination) (*upstream.Response, Trace, error) {
 	f.count++
 	return f.answer, f.trace, f.err
 }
@@ -151,7 +151,7 @@
 	w, handover := newTestNodeWithHomes(t, ErrNoHome, warmDivided)
 	w.setOwner(t, "s0")
 	request := requestFor("divided", true)
-	w.recordAnswerSize(request, &upstream.Answer{Body: make([]byte, 90<<10)})
+	w.recordAnswerSize(request, &upstream.Response{Body: make([]byte, 90<<10)})
 	_, _, _ = w.Do(t.Context(), request)
 	if handover.count != 0 {
 		t.Error("a request with a large answer was handed off")
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -28,7 +28,7 @@
 	// only then. All of them may be read once done is closed.
 	sent    bool
 	server  *server
-	answer  *upstream.Answer
+	answer  *upstream.Response
 	outcome attemptOutcome
 	err     error
 	done    chan struct{}
@@ -38,7 +38,7 @@
 // sendHedged sends a request to a server and, if that is slow, to a second one. The first
 // answer wins. The other attempt is canceled, which closes its connection to the server.
 // sendHedged returns the server that the result comes from.
-func (d *Dispatcher) sendHedged(ctx context.Context, request *Request, s *server, deadline time.Time, trace *Trace, excluded map[discovery.ServerID]bool) (*server, *upstream.Answer, attemptOutcome, error) {
+func (d *Dispatcher) sendHedged(ctx context.Context, request *Request, s *server, deadline time.Time, trace *Trace, excluded map[discovery.ServerID]bool) (*server, *upstream.Response, attemptOutcome, error) {
 	delay, may := d.hedgeDelay(request, s, trace)
 	if !may {
 		answer, outcome, err := d.send(ctx, request, s, deadline)
@@ -107,7 +107,7 @@
 }
 
 // discardRest closes the connection of an answer that is not passed on.
-func discardRest(answer *upstream.Answer) {
+func discardRest(answer *upstream.Response) {
 	if answer != nil && answer.Rest != nil {
 		// An error from Close changes nothing.
 		_ = answer.Rest.Close()
@@ -116,7 +116,7 @@
 
 // cancelWithAnswer cancels an attempt's context at once if its answer is complete, and
 // otherwise when the rest of the answer is closed.
-func cancelWithAnswer(answer *upstream.Answer, cancel context.CancelFunc) *upstream.Answer {
+func cancelWithAnswer(answer *upstream.Response, cancel context.CancelFunc) *upstream.Response {
 	if answer == nil || answer.Rest == nil {
 		cancel()
 		return answer
--- a/internal/dispatch/notsent_test.go
+++ b/internal/dispatch/notsent_test.go
@@ -98,7 +98,7 @@
 	longest := time.Duration(0)
 	for refusedConnections := range 8 {
 		before := time.Now()
-		d.recordTransportError(full, errors.Mark(upstream.ErrTurnedAway, upstream.ErrNotSent))
+		d.recordTransportError(full, errors.Mark(upstream.ErrConnectionLimit, upstream.ErrNotSent))
 		pause := full.blockedUntil.Sub(before)
 		if pause < longest || pause > maxOverloadPause+time.Second {
 			t.Errorf("skipped for %v after %d refusals, previously %v", pause, refusedConnections+1, longest)
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -51,7 +51,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	scheduled := d.scheduled(again, again.deadline())
-	if age := again.ArrivedAt.Sub(scheduled.FirstTry); age != 15*time.Second {
+	if age := again.ArrivedAt.Sub(scheduled.FirstAttempt); age != 15*time.Second {
 		t.Errorf("first attempt %v before, want 15 s", age)
 	}
 	if !scheduled.Late(again.ArrivedAt) {
--- a/internal/dispatch/results.go
+++ b/internal/dispatch/results.go
@@ -73,11 +73,11 @@
 func (d *Dispatcher) recordTransportError(s *server, cause error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if errors.Is(cause, upstream.ErrTurnedAway) {
+	if errors.Is(cause, upstream.ErrConnectionLimit) {
 		s.recordConnectionRefused(time.Now())
 		return
 	}
-	if errors.Is(cause, upstream.ErrSilent) {
+	if errors.Is(cause, upstream.ErrUnacknowledged) {
 		// The connection was lost, not the server.
 		return
 	}
@@ -85,7 +85,7 @@
 }
 
 // loadIn returns the load that a server reported in an answer, or nil.
-func (d *Dispatcher) loadIn(answer *upstream.Answer) *discovery.Load {
+func (d *Dispatcher) loadIn(answer *upstream.Response) *discovery.Load {
 	if d.headers.Load == nil {
 		return nil
 	}
@@ -98,7 +98,7 @@
 
 // resultOf derives what an answer shows about its server. A gateway timeout means that the
 // server was slow, which does not make this node back off as a failure does.
-func resultOf(outcome attemptOutcome, answer *upstream.Answer) serverResult {
+func resultOf(outcome attemptOutcome, answer *upstream.Response) serverResult {
 	switch {
 	case outcome == rejected, answer.Status == statusGatewayTimeout:
 		return noResult
--- a/internal/dispatch/retryafter.go
+++ b/internal/dispatch/retryafter.go
@@ -18,13 +18,13 @@
 
 // returnsOf returns the expected retries of other refused callers of the same servers. The
 // caller holds the mutex.
-func (d *Dispatcher) returnsOf(request *Request) *schedule.Returns {
+func (d *Dispatcher) returnsOf(request *Request) *schedule.RetrySchedule {
 	if s := d.keyServer(request); s != nil {
 		return &s.returns
 	}
 	known := d.returns[request.Service]
 	if known == nil {
-		known = &schedule.Returns{}
+		known = &schedule.RetrySchedule{}
 		d.returns[request.Service] = known
 	}
 	return known
@@ -58,7 +58,7 @@
 			// The server was full. Within the time of one answer it completes as many
 			// requests as it has slots. That is an estimate, so no caller is told to retry
 			// later than it would by itself.
-			return min(seconds(s.expected()), schedule.LongestReturn(request.callerDeadline().Sub(now)))
+			return min(seconds(s.expected()), schedule.MaxRetryDelay(request.callerDeadline().Sub(now)))
 		}
 	}
 	return 0
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -49,7 +49,7 @@
 	evacuated      bool
 	evacuatedSince time.Time
 	// returns spreads the retries of callers that were refused because of this server.
-	returns schedule.Returns
+	returns schedule.RetrySchedule
 	// coldUntil is when the server's warm-up ends according to its answer to a probe.
 	// probeAt is when it may be probed next.
 	coldUntil time.Time
--- a/internal/dispatch/services.go
+++ b/internal/dispatch/services.go
@@ -82,7 +82,7 @@
 	svc.divided = false
 	if current.Table != nil {
 		configured, _ := current.Table.Service(svc.name)
-		svc.divided = configured.KeyDivided
+		svc.divided = configured.ShardedByKey
 	}
 }
 
--- a/internal/dispatch/signals.go
+++ b/internal/dispatch/signals.go
@@ -30,7 +30,7 @@
 func (d *Dispatcher) SetSignalFunc(onSignal SignalFunc) { d.onSignal = onSignal }
 
 // observeSignals applies the signals in an answer to a request that this node sent.
-func (d *Dispatcher) observeSignals(s *server, answer *upstream.Answer) {
+func (d *Dispatcher) observeSignals(s *server, answer *upstream.Response) {
 	if signals, fromServer := d.signalsOf(answer); fromServer {
 		d.takeSignals(s, signals)
 	}
@@ -39,7 +39,7 @@
 // observeHandoffSignals applies the signals in an answer that came through the server's
 // home, because this node may later send requests to the server itself. A requested
 // back-off is ignored, as it was meant for the home only.
-func (d *Dispatcher) observeHandoffSignals(trace Trace, answer *upstream.Answer) {
+func (d *Dispatcher) observeHandoffSignals(trace Trace, answer *upstream.Response) {
 	if answer == nil {
 		return
 	}
@@ -78,7 +78,7 @@
 // signalsOf returns the signals in an answer; false if they are not from the server that
 // was asked. Another server may have its address by now, and an unsigned answer without
 // signals may be damaged.
-func (d *Dispatcher) signalsOf(answer *upstream.Answer) (backpressure.Signals, bool) {
+func (d *Dispatcher) signalsOf(answer *upstream.Response) (backpressure.Signals, bool) {
 	if d.headers.Signals == nil || answer.Status == statusMisdirected {
 		return backpressure.Signals{}, false
 	}
--- a/internal/dispatch/signals_test.go
+++ b/internal/dispatch/signals_test.go
@@ -34,7 +34,7 @@
 	var told []discovery.ServerID
 	w.SetSignalFunc(func(server discovery.ServerID, _ Signal) { told = append(told, server) })
 	handover.trace.Server = "s0"
-	handover.answer = &upstream.Answer{Status: http.StatusOK, Header: http.Header{"Signed": {"by s0"}, "Leaving": {"1"}}}
+	handover.answer = &upstream.Response{Status: http.StatusOK, Header: http.Header{"Signed": {"by s0"}, "Leaving": {"1"}}}
 	for range 2 {
 		if _, _, err := w.Do(t.Context(), requestFor("divided", true)); err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 	w.headers = newSignalHeaders()
 	w.setOwner(t, "s0")
 	handover.trace.Server = "s0"
-	handover.answer = &upstream.Answer{Status: http.StatusMisdirectedRequest, Header: http.Header{"Leaving": {"1"}}}
+	handover.answer = &upstream.Response{Status: http.StatusMisdirectedRequest, Header: http.Header{"Leaving": {"1"}}}
 	if _, _, err := w.Do(t.Context(), requestFor("divided", true)); err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	w.headers = newSignalHeaders()
 	w.setOwner(t, "s0")
 	handover.trace.Server = "s0"
-	handover.answer = &upstream.Answer{Status: http.StatusServiceUnavailable, Header: http.Header{"Rest": {"1"}}}
+	handover.answer = &upstream.Response{Status: http.StatusServiceUnavailable, Header: http.Header{"Rest": {"1"}}}
 	if _, _, err := w.Do(t.Context(), requestFor("divided", true)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatch/wait.go
+++ b/internal/dispatch/wait.go
@@ -11,20 +11,20 @@
 // The caller holds the mutex.
 func (d *Dispatcher) scheduled(request *Request, deadline time.Time) *schedule.Request {
 	_, work := d.capacity(time.Now(), request, nil)
-	since := d.firstTriesOf(request).Since(request.callerDeadline().Sub(request.ArrivedAt))
+	since := d.firstTriesOf(request).EstimateAge(request.callerDeadline().Sub(request.ArrivedAt))
 	return &schedule.Request{
 		Class: request.Route.Name, Priority: request.Priority,
-		Arrived: request.ArrivedAt, FirstTry: request.ArrivedAt.Add(-since), Caller: request.Caller,
-		Objective: request.Route.Objective, Limit: deadline, Deadline: request.callerDeadline(), Work: work,
+		Arrived: request.ArrivedAt, FirstAttempt: request.ArrivedAt.Add(-since), Caller: request.Caller,
+		Objective: request.Route.Objective, ExecutionDeadline: deadline, Deadline: request.callerDeadline(), ServiceTime: work,
 	}
 }
 
 // firstTriesOf returns the estimate, for a request's route, of when callers sent their
 // first attempt. The caller holds the mutex.
-func (d *Dispatcher) firstTriesOf(request *Request) *schedule.FirstTries {
+func (d *Dispatcher) firstTriesOf(request *Request) *schedule.FirstAttempts {
 	known := d.firstTries[request.Route.Name]
 	if known == nil {
-		known = &schedule.FirstTries{}
+		known = &schedule.FirstAttempts{}
 		d.firstTries[request.Route.Name] = known
 	}
 	return known
@@ -45,12 +45,12 @@
 
 // queueState returns the queue ahead of a request and the capacity of the servers that may
 // serve it. Servers in excluded do not count. The caller holds the mutex.
-func (d *Dispatcher) queueState(now time.Time, request *Request, scheduled *schedule.Request, excluded map[discovery.ServerID]bool) schedule.Line {
+func (d *Dispatcher) queueState(now time.Time, request *Request, scheduled *schedule.Request, excluded map[discovery.ServerID]bool) schedule.Queue {
 	capacity, work := d.capacity(now, request, excluded)
-	return schedule.Line{
-		Ahead:  schedule.Ahead(now, scheduled, d.competing(request), scheduledOf),
-		Places: capacity, Work: work,
-		Opens: d.ownerBlockedFor(now, request), Closed: d.ownerUnavailable(now, request),
+	return schedule.Queue{
+		Ahead:       schedule.Ahead(now, scheduled, d.competing(request), scheduledOf),
+		Concurrency: capacity, ServiceTime: work,
+		BlockedFor: d.ownerBlockedFor(now, request), Unavailable: d.ownerUnavailable(now, request),
 	}
 }
 
--- a/internal/dispatch/warming_test.go
+++ b/internal/dispatch/warming_test.go
@@ -26,7 +26,7 @@
 func (warmUpDocuments) Table([]byte) (routing.Spec, error) {
 	return routing.Spec{Version: 1, Services: []routing.Service{
 		{Name: "plain", WarmUp: warmUpTime, WarmUpRate: 6.7},
-		{Name: "divided", WarmUp: warmUpTime, WarmUpRate: 6.7, KeyDivided: true, KeyWarmUp: keyWarmUp},
+		{Name: "divided", WarmUp: warmUpTime, WarmUpRate: 6.7, ShardedByKey: true, KeyWarmUp: keyWarmUp},
 	}}, nil
 }
 
--- a/internal/handoff/home.go
+++ b/internal/handoff/home.go
@@ -21,7 +21,7 @@
 
 // Dispatcher is the part of dispatch.Dispatcher that Home uses.
 type Dispatcher interface {
-	Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error)
+	Do(ctx context.Context, request *dispatch.Request) (*upstream.Response, dispatch.Trace, error)
 	Takes(request *dispatch.Request, to dispatch.Destination) bool
 	TakeHome(server discovery.ServerID)
 }
@@ -145,7 +145,7 @@
 	}
 }
 
-func (h *Home) logOutcome(request *dispatch.Request, trace dispatch.Trace, response *upstream.Answer, err error) {
+func (h *Home) logOutcome(request *dispatch.Request, trace dispatch.Trace, response *upstream.Response, err error) {
 	fields := []zap.Field{
 		zap.String("request", request.ID), zap.String("from", request.IncomingHandoff.From), zap.String("service", request.Service),
 		zap.String("server", trace.Server), zap.Int("attempts", trace.Attempts), zap.Duration("queued", trace.Queued),
@@ -282,7 +282,7 @@
 }
 
 // sendOutcome reports the outcome of the request to the sending node.
-func (t *task) sendOutcome(ctx context.Context, response *upstream.Answer, trace dispatch.Trace, err error) {
+func (t *task) sendOutcome(ctx context.Context, response *upstream.Response, trace dispatch.Trace, err error) {
 	var refusal *dispatch.Refusal
 	switch {
 	case t.state.Load() == returned:
@@ -302,7 +302,7 @@
 }
 
 // sendResponse sends a response, split into chunks if it is long.
-func (t *task) sendResponse(ctx context.Context, response *upstream.Answer, trace dispatch.Trace) {
+func (t *task) sendResponse(ctx context.Context, response *upstream.Response, trace dispatch.Trace) {
 	t.responding.Store(true)
 	head := &wire.HandoffAnswer{Status: uint32(response.Status), Fields: encodeHeader(response.Header), Trace: encodeTrace(trace)}
 	body := response.Body
--- a/internal/handoff/home_test.go
+++ b/internal/handoff/home_test.go
@@ -27,14 +27,14 @@
 type fakeDispatcher struct {
 	// delay is how long a request waits for its slot.
 	delay time.Duration
-	do    func(ctx context.Context, request *dispatch.Request) (*upstream.Answer, error)
+	do    func(ctx context.Context, request *dispatch.Request) (*upstream.Response, error)
 	sent  atomic.Int32
 	// ended receives the context error of each request that is canceled while it waits for
 	// its slot.
 	ended chan error
 }
 
-func (f *fakeDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error) {
+func (f *fakeDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Response, dispatch.Trace, error) {
 	select {
 	case <-time.After(f.delay):
 	case <-ctx.Done():
@@ -46,7 +46,7 @@
 	}
 	f.sent.Add(1)
 	if f.do == nil {
-		return &upstream.Answer{Status: 200, Body: []byte("done")}, dispatch.Trace{}, nil
+		return &upstream.Response{Status: 200, Body: []byte("done")}, dispatch.Trace{}, nil
 	}
 	response, err := f.do(ctx, request)
 	return response, dispatch.Trace{}, err
@@ -187,7 +187,7 @@
 	began chan error
 }
 
-func (l *lateDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error) {
+func (l *lateDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Response, dispatch.Trace, error) {
 	<-ctx.Done()
 	err := request.IncomingHandoff.Confirm(ctx)
 	l.began <- err
@@ -226,7 +226,7 @@
 	}
 }
 
-func handOffTo(t testing.TB, sender *Sender, node homes.Node) (*upstream.Answer, error) {
+func handOffTo(t testing.TB, sender *Sender, node homes.Node) (*upstream.Response, error) {
 	t.Helper()
 	request := newRequest(false)
 	to := dispatch.Destination{Homes: []homes.Node{node}, TableVersion: tableVersion}
@@ -238,10 +238,10 @@
 // that servers are processing.
 func TestStoppingHome(t *testing.T) {
 	atServer, finish := make(chan struct{}), make(chan struct{})
-	dispatcher := &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Answer, error) {
+	dispatcher := &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Response, error) {
 		close(atServer)
 		<-finish
-		return &upstream.Answer{Status: 200, Body: []byte("ended")}, nil
+		return &upstream.Response{Status: 200, Body: []byte("ended")}, nil
 	}}
 	waiting := &fakeDispatcher{delay: time.Minute, ended: make(chan error, 1)}
 	both := &splitDispatcher{first: dispatcher, then: waiting}
@@ -279,7 +279,7 @@
 	count       atomic.Int32
 }
 
-func (f *splitDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Answer, dispatch.Trace, error) {
+func (f *splitDispatcher) Do(ctx context.Context, request *dispatch.Request) (*upstream.Response, dispatch.Trace, error) {
 	if f.count.Add(1) == 1 {
 		return f.first.Do(ctx, request)
 	}
@@ -310,9 +310,9 @@
 func TestBytesThatAreNoTextPass(t *testing.T) {
 	const odd = "caf\xe9"
 	passed := make(chan *dispatch.Request, 1)
-	node, _ := newHome(t, &fakeDispatcher{do: func(_ context.Context, request *dispatch.Request) (*upstream.Answer, error) {
+	node, _ := newHome(t, &fakeDispatcher{do: func(_ context.Context, request *dispatch.Request) (*upstream.Response, error) {
 		passed <- request
-		return &upstream.Answer{Status: 200, Header: http.Header{"A": {odd}}, Body: []byte("done")}, nil
+		return &upstream.Response{Status: 200, Header: http.Header{"A": {odd}}, Body: []byte("done")}, nil
 	}})
 	request := newRequest(false)
 	request.ID, request.Caller, request.URI = odd, odd, "/"+odd
@@ -341,8 +341,8 @@
 // response of 8 KB.
 func BenchmarkHop(b *testing.B) {
 	body := make([]byte, 8<<10)
-	node, _ := newHome(b, &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Answer, error) {
-		return &upstream.Answer{Status: 200, Body: body}, nil
+	node, _ := newHome(b, &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Response, error) {
+		return &upstream.Response{Status: 200, Body: body}, nil
 	}})
 	sender := newSender(b)
 	took := make([]time.Duration, 0, b.N)
--- a/internal/handoff/sender.go
+++ b/internal/handoff/sender.go
@@ -76,7 +76,7 @@
 
 // Do implements dispatch.HandoffSender. It tries the candidates in order until one takes the
 // request. If a home node of an unsharded service has no free server, one more is tried.
-func (s *Sender) Do(ctx context.Context, request *dispatch.Request, respondBy time.Time, to dispatch.Destination) (*upstream.Answer, dispatch.Trace, error) {
+func (s *Sender) Do(ctx context.Context, request *dispatch.Request, respondBy time.Time, to dispatch.Destination) (*upstream.Response, dispatch.Trace, error) {
 	var noServer *dispatch.Refusal
 	notTaken := dispatch.ErrNoHome
 	for _, home := range s.candidates(to) {
@@ -102,7 +102,7 @@
 
 // handOffTo hands a request off to one home node. The error matches dispatch.ErrNoHome if
 // that node has certainly not sent the request and never will.
-func (s *Sender) handOffTo(ctx context.Context, home homes.Node, request *dispatch.Request, first *wire.Envelope) (*upstream.Answer, dispatch.Trace, error) {
+func (s *Sender) handOffTo(ctx context.Context, home homes.Node, request *dispatch.Request, first *wire.Envelope) (*upstream.Response, dispatch.Trace, error) {
 	bounded, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
 	stream, err := s.client.Open(bounded, home.Address, first)
@@ -154,7 +154,7 @@
 func (h *attempt) mayHaveRun() bool { return !h.needsGo || h.goAheadSent }
 
 // awaitOutcome processes the messages of the home node until the request has ended.
-func (h *attempt) awaitOutcome(ctx context.Context) (*upstream.Answer, dispatch.Trace, error) {
+func (h *attempt) awaitOutcome(ctx context.Context) (*upstream.Response, dispatch.Trace, error) {
 	trace := dispatch.Trace{Home: h.home}
 	for {
 		envelope, err := h.receive(ctx)
@@ -257,9 +257,9 @@
 }
 
 // response reads a response, to its end if it is short.
-func (h *attempt) response(ctx context.Context, head *wire.HandoffAnswer) (*upstream.Answer, dispatch.Trace, error) {
+func (h *attempt) response(ctx context.Context, head *wire.HandoffAnswer) (*upstream.Response, dispatch.Trace, error) {
 	trace := decodeTrace(h.home, head.GetTrace())
-	response := &upstream.Answer{Status: int(head.GetStatus()), Header: decodeHeader(head.GetFields()), Body: head.GetBody()}
+	response := &upstream.Response{Status: int(head.GetStatus()), Header: decodeHeader(head.GetFields()), Body: head.GetBody()}
 	if head.GetWhole() {
 		return response, trace, nil
 	}
--- a/internal/handoff/sender_test.go
+++ b/internal/handoff/sender_test.go
@@ -77,7 +77,7 @@
 }
 
 // handOff hands a request off to the given home nodes, in this order of preference.
-func handOff(ctx context.Context, sender *Sender, request *dispatch.Request, candidates ...homes.Node) (*upstream.Answer, error) {
+func handOff(ctx context.Context, sender *Sender, request *dispatch.Request, candidates ...homes.Node) (*upstream.Response, error) {
 	response, _, err := sender.Do(ctx, request, request.Deadline, dispatch.Destination{Homes: candidates, TableVersion: tableVersion})
 	return response, err
 }
@@ -297,12 +297,12 @@
 // must not delay other requests to the same home node.
 func TestSlowReaderHoldsUpNoOther(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), maxBufferedBody)
-	dispatcher := &fakeDispatcher{do: func(_ context.Context, request *dispatch.Request) (*upstream.Answer, error) {
+	dispatcher := &fakeDispatcher{do: func(_ context.Context, request *dispatch.Request) (*upstream.Response, error) {
 		if request.ID == "short" {
-			return &upstream.Answer{Status: 200, Body: []byte("short")}, nil
+			return &upstream.Response{Status: 200, Body: []byte("short")}, nil
 		}
 		rest := io.NopCloser(bytes.NewReader(body[maxBufferedBody:]))
-		return &upstream.Answer{Status: 200, Header: http.Header{"A": {"1", "2"}}, Body: body[:maxBufferedBody], Rest: rest}, nil
+		return &upstream.Response{Status: 200, Header: http.Header{"A": {"1", "2"}}, Body: body[:maxBufferedBody], Rest: rest}, nil
 	}}
 	node, _ := newHome(t, dispatcher)
 	sender := newSender(t)
@@ -330,12 +330,12 @@
 	body := bytes.Repeat([]byte("0123456789abcdef"), maxBufferedBody/16)
 	together := make(chan struct{})
 	var waiting atomic.Int32
-	node, _ := newHome(t, &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Answer, error) {
+	node, _ := newHome(t, &fakeDispatcher{do: func(context.Context, *dispatch.Request) (*upstream.Response, error) {
 		if waiting.Add(1) == many {
 			close(together)
 		}
 		<-together
-		return &upstream.Answer{Status: 200, Body: body}, nil
+		return &upstream.Response{Status: 200, Body: body}, nil
 	}})
 	sender := newSender(t)
 	results := make(chan error, many)
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -15,7 +15,7 @@
 
 // reply writes the final response to a request: the server's response, or an error status that
 // says whether the request may have run.
-func (h *Handler) reply(writer http.ResponseWriter, method string, reply *upstream.Answer, err error) {
+func (h *Handler) reply(writer http.ResponseWriter, method string, reply *upstream.Response, err error) {
 	// The node may have started draining while the request was being processed.
 	h.closeIfDraining(writer)
 	var refusal *dispatch.Refusal
@@ -42,7 +42,7 @@
 }
 
 // forwardResponse copies a server's response to the client.
-func (h *Handler) forwardResponse(writer http.ResponseWriter, method string, response *upstream.Answer) {
+func (h *Handler) forwardResponse(writer http.ResponseWriter, method string, response *upstream.Response) {
 	options := connectionOptions(response.Header)
 	header := writer.Header()
 	for name, values := range response.Header {
@@ -72,7 +72,7 @@
 }
 
 // setContentLength sets the Content-Length of a fully buffered response.
-func setContentLength(header http.Header, method string, response *upstream.Answer) {
+func setContentLength(header http.Header, method string, response *upstream.Response) {
 	switch {
 	case response.Status == http.StatusNoContent, response.Status == http.StatusNotModified:
 	case method == http.MethodHead:
@@ -86,7 +86,7 @@
 }
 
 // outcomeLabel returns the metric label for the outcome of a request.
-func outcomeLabel(response *upstream.Answer, err error) string {
+func outcomeLabel(response *upstream.Response, err error) string {
 	switch {
 	case err == nil && response != nil && response.Status < http.StatusBadRequest:
 		return "served"
@@ -110,7 +110,7 @@
 // logRequest logs the outcome of a request. headOfLineWait is how long the response waited for
 // earlier responses on its connection.
 func (h *Handler) logRequest(
-	request *dispatch.Request, trace dispatch.Trace, response *upstream.Answer, err error, version int64, elapsed, headOfLineWait time.Duration,
+	request *dispatch.Request, trace dispatch.Trace, response *upstream.Response, err error, version int64, elapsed, headOfLineWait time.Duration,
 ) {
 	fields := []zap.Field{
 		zap.String("request", request.ID), zap.String("route", request.Route.Name),
--- a/internal/ingress/response_test.go
+++ b/internal/ingress/response_test.go
@@ -32,7 +32,7 @@
 			header["Content-Length"] = c.declared
 		}
 		recorder := httptest.NewRecorder()
-		reply := &upstream.Answer{Status: c.status, Header: header, Body: []byte(c.body)}
+		reply := &upstream.Response{Status: c.status, Header: header, Body: []byte(c.body)}
 		pacedHandler().reply(recorder, c.method, reply, nil)
 		got := recorder.Result().Header["Content-Length"]
 		if len(got) != len(c.want) || (len(got) > 0 && got[0] != c.want[0]) {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -97,7 +97,7 @@
 	store.Write("a", []byte("1"))
 	received := start(t, store)
 	received.waitFor(t, "a", "1")
-	store.SetFaults(memory.Faults{Deaf: true})
+	store.SetFaults(memory.Faults{StallWatches: true})
 	store.Write("a", nil)
 	store.Write("b", []byte("2"))
 	store.Compact()
@@ -113,7 +113,7 @@
 	store.Write("a", []byte("1"))
 	received := start(t, store)
 	received.waitFor(t, "a", "1")
-	store.SetFaults(memory.Faults{Deaf: true})
+	store.SetFaults(memory.Faults{StallWatches: true})
 	store.Write("a", []byte("2"))
 	received.waitFor(t, "a", "2")
 }
@@ -131,7 +131,7 @@
 	defer group.Wait()
 	defer cancel()
 	received.waitFor(t, "a", "1")
-	store.SetFaults(memory.Faults{Deaf: true})
+	store.SetFaults(memory.Faults{StallWatches: true})
 	revision := store.Write("a", []byte("2"))
 	if !m.CatchUp(ctx, revision) {
 		t.Fatal("CatchUp did not detect that the copy is outdated")
--- a/internal/router/managers.go
+++ b/internal/router/managers.go
@@ -39,12 +39,12 @@
 		return
 	}
 	for name, service := range table.Services() {
-		if service.KeyDivided && m.running[name] == nil {
+		if service.ShardedByKey && m.running[name] == nil {
 			m.start(ctx, name)
 		}
 	}
 	for name, running := range m.running {
-		if service, known := table.Service(name); !known || !service.KeyDivided {
+		if service, known := table.Service(name); !known || !service.ShardedByKey {
 			running.cancel()
 			delete(m.running, name)
 		}
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -298,7 +298,7 @@
 		return
 	}
 	for name, service := range current.Table.Services() {
-		if !service.KeyDivided {
+		if !service.ShardedByKey {
 			continue
 		}
 		measured := p.dispatcher.TakeReport(name)
--- a/internal/router/registration.go
+++ b/internal/router/registration.go
@@ -55,7 +55,7 @@
 		err := r.store.KeepLease(ctx, r.lease)
 		// A restored store may have the lease without the entry, or with an earlier one.
 		restored := err == nil && r.store.Era() > r.era
-		if !errors.Is(err, topo.ErrLeaseGone) && !restored {
+		if !errors.Is(err, topo.ErrLeaseEnded) && !restored {
 			return err
 		}
 		r.lease = 0
--- a/internal/router/scale_test.go
+++ b/internal/router/scale_test.go
@@ -87,7 +87,7 @@
 	spec := routing.Spec{
 		Version:  1,
 		Routes:   []routing.Route{{Name: "r", Host: "h", PathPrefix: "/", Timeout: 1, Backends: []routing.Backend{{Service: "a", Weight: 1}}}},
-		Services: []routing.Service{{Name: "a", MaxConnections: 1800, KeyDivided: true}, {Name: "b", MaxConnections: 1800}, {Name: "c", MaxConnections: 1800}},
+		Services: []routing.Service{{Name: "a", MaxConnections: 1800, ShardedByKey: true}, {Name: "b", MaxConnections: 1800}, {Name: "c", MaxConnections: 1800}},
 	}
 	items := []topo.Item{{Key: "table", Value: mustEncode(tb, spec), Revision: 1}}
 	for index := range size.servers {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -53,8 +53,8 @@
 	// HealthPath is the path at which a server reports whether it is warming up; empty if it
 	// does not report that.
 	HealthPath string
-	// KeyDivided services are sharded by key: each key has one owner.
-	KeyDivided bool
+	// ShardedByKey services are sharded by key: each key has one owner.
+	ShardedByKey bool
 	// WarmUp is how long a server warms up after a start. WarmUpRate is the number of
 	// requests per second that it can handle meanwhile. 0 means not configured.
 	WarmUp     time.Duration
--- a/internal/schedule/decide.go
+++ b/internal/schedule/decide.go
@@ -25,24 +25,24 @@
 // its caller's timeout, because a late response is still of some use to a caller that waits
 // long. All others are refused immediately, while most of the caller's time is left for a
 // retry.
-func Decide(now time.Time, request *Request, queue Line) Decision {
+func Decide(now time.Time, request *Request, queue Queue) Decision {
 	minWaitEnd := request.Arrived.Add(time.Duration(minWaitFraction * float64(request.Objective)))
-	if queue.Places <= 0 {
-		return waitUntil(now, earlier(request.Limit, minWaitEnd))
+	if queue.Concurrency <= 0 {
+		return waitUntil(now, earlier(request.ExecutionDeadline, minWaitEnd))
 	}
-	latestSafeStart := request.FirstTry.Add(time.Duration(inTimeFraction*float64(request.Objective)) - queue.Work)
+	latestSafeStart := request.FirstAttempt.Add(time.Duration(inTimeFraction*float64(request.Objective)) - queue.ServiceTime)
 	expectedStart := now.Add(queue.expectedWait())
 	if !expectedStart.After(latestSafeStart) || queue.headMayStart(latestSafeStart.Sub(now)) {
-		decision := waitUntil(now, earlier(request.Limit, later(minWaitEnd, latestSafeStart)))
+		decision := waitUntil(now, earlier(request.ExecutionDeadline, later(minWaitEnd, latestSafeStart)))
 		if decision.Verdict == Wait {
 			return decision
 		}
 	}
-	if queue.Closed {
+	if queue.Unavailable {
 		return Decision{Verdict: Refuse}
 	}
 	lateWaitEnd := request.Arrived.Add(time.Duration(lateWaitFraction * float64(request.Deadline.Sub(request.Arrived))))
-	until := earlier(request.Limit, lateWaitEnd).Add(-queue.Work)
+	until := earlier(request.ExecutionDeadline, lateWaitEnd).Add(-queue.ServiceTime)
 	if expectedStart.After(until) {
 		return Decision{Verdict: Refuse}
 	}
@@ -52,7 +52,7 @@
 // headMayStart reports whether a request is at the head of the queue and the servers may
 // accept one within the given time. The expected wait does not decide then, because a slot
 // may be freed at any moment.
-func (l Line) headMayStart(within time.Duration) bool { return l.Ahead == 0 && l.Opens < within }
+func (l Queue) headMayStart(within time.Duration) bool { return l.Ahead == 0 && l.BlockedFor < within }
 
 // waitUntil returns the decision to wait until a time, or to refuse if that time has passed.
 func waitUntil(now, until time.Time) Decision {
--- a/internal/schedule/first_attempts.go
+++ b/internal/schedule/first_attempts.go
@@ -10,11 +10,11 @@
 	minOccurrences = 4
 )
 
-// FirstTries estimates, for one route, when callers made their first attempt. The protocol
+// FirstAttempts estimates, for one route, when callers made their first attempt. The protocol
 // does not carry that time. However, all callers of one kind start with the same timeout,
 // so this value occurs often, and each retry carries what is left of it. It is not safe for
 // concurrent use.
-type FirstTries struct {
+type FirstAttempts struct {
 	// timeouts is a ring buffer of the latest observations, in milliseconds; next is the index
 	// of the oldest one once the buffer is full. occurrences counts each value in it.
 	timeouts    []int64
@@ -23,7 +23,7 @@
 }
 
 // Observe records how much time a caller had left when its request arrived.
-func (f *FirstTries) Observe(left time.Duration) {
+func (f *FirstAttempts) Observe(left time.Duration) {
 	if f.occurrences == nil {
 		f.occurrences = make(map[int64]int)
 	}
@@ -39,18 +39,18 @@
 }
 
 // forget removes one occurrence of a timeout.
-func (f *FirstTries) forget(millis int64) {
+func (f *FirstAttempts) forget(millis int64) {
 	f.occurrences[millis]--
 	if f.occurrences[millis] == 0 {
 		delete(f.occurrences, millis)
 	}
 }
 
-// Since returns how long ago a caller with some time left made its first attempt: the
+// EstimateAge returns how long ago a caller with some time left made its first attempt: the
 // difference between that time and the smallest common timeout that is not below it. If
 // callers use different timeouts, the age is underestimated rather than overestimated. It
 // returns 0 while there are too few observations.
-func (f *FirstTries) Since(left time.Duration) time.Duration {
+func (f *FirstAttempts) EstimateAge(left time.Duration) time.Duration {
 	millis := left.Milliseconds()
 	age := int64(-1)
 	for timeout, occurrences := range f.occurrences {
--- a/internal/schedule/load_test.go
+++ b/internal/schedule/load_test.go
@@ -33,7 +33,7 @@
 	waiting []*call
 	until   map[*call]time.Time
 	busy    []time.Time
-	returns Returns
+	returns RetrySchedule
 }
 
 const (
@@ -64,7 +64,7 @@
 		}
 		c.tries++
 		c.Arrived = now
-		c.Limit = earlier(c.Deadline, now.Add(3*time.Second))
+		c.ExecutionDeadline = earlier(c.Deadline, now.Add(3*time.Second))
 		arrived = append(arrived, c)
 		return true
 	})
@@ -78,7 +78,7 @@
 		s.waiting = s.waiting[1:]
 		end := now.Add(s.work(now))
 		s.busy = append(s.busy, end)
-		c.inTime = !end.After(c.FirstTry.Add(c.Objective))
+		c.inTime = !end.After(c.FirstAttempt.Add(c.Objective))
 		c.late = !c.inTime
 	}
 }
@@ -92,7 +92,7 @@
 		if now.Before(s.until[c]) || (now.Equal(c.Arrived) && len(s.busy) < s.slots) {
 			return false
 		}
-		queue := Line{Ahead: Ahead(now, c.Request, s.waiting, requestOf), Places: float64(s.slots), Work: usualWork}
+		queue := Queue{Ahead: Ahead(now, c.Request, s.waiting, requestOf), Concurrency: float64(s.slots), ServiceTime: usualWork}
 		decision := Decide(now, c.Request, queue)
 		s.until[c] = decision.Until
 		if decision.Verdict == Wait {
@@ -190,7 +190,7 @@
 		}
 		for _, c := range load.calls {
 			ended := answered(c) || c.refused || !c.disconnects.IsZero()
-			if half := c.Deadline.Sub(c.FirstTry) / 2; !ended || c.queuedFor > half+step {
+			if half := c.Deadline.Sub(c.FirstAttempt) / 2; !ended || c.queuedFor > half+step {
 				t.Errorf("%s: a call ended: %v; queued for %v before a refusal", load.name, ended, c.queuedFor)
 				break
 			}
--- a/internal/schedule/retry.go
+++ b/internal/schedule/retry.go
@@ -17,16 +17,16 @@
 	cappedJitterFraction = 0.3
 )
 
-// LongestReturn returns the longest retry delay that a caller with some remaining time
+// MaxRetryDelay returns the longest retry delay that a caller with some remaining time
 // respects.
-func LongestReturn(remaining time.Duration) time.Duration {
+func MaxRetryDelay(remaining time.Duration) time.Duration {
 	return time.Duration(maxRetryFraction * float64(remaining))
 }
 
-// Returns assigns retry delays to refused callers of one queue. Each refused caller gets
+// RetrySchedule assigns retry delays to refused callers of one queue. Each refused caller gets
 // the next slot in a sequence of expected retries, so that callers that were refused
 // together do not retry together. It is not safe for concurrent use.
-type Returns struct {
+type RetrySchedule struct {
 	// nextRetry is the time from which there is capacity for the next retry.
 	nextRetry time.Time
 }
@@ -37,12 +37,12 @@
 // known to last. An earlier retry would be refused again, so a blockedFor beyond the longest
 // delay that callers respect is returned all the same; any other delay is limited to that
 // longest one. random, from 0 to 1, spreads the retries.
-func (r *Returns) After(now time.Time, request *Request, queue Line, blockedFor time.Duration, random float64) time.Duration {
-	maxDelay := LongestReturn(request.Deadline.Sub(now))
+func (r *RetrySchedule) After(now time.Time, request *Request, queue Queue, blockedFor time.Duration, random float64) time.Duration {
+	maxDelay := MaxRetryDelay(request.Deadline.Sub(now))
 	if blockedFor > maxDelay {
 		return blockedFor + time.Duration(random*float64(retryJitter))
 	}
-	untilCapacity := queue.expectedWait() + queue.Work - time.Duration(inTimeFraction*float64(request.Objective))
+	untilCapacity := queue.expectedWait() + queue.ServiceTime - time.Duration(inTimeFraction*float64(request.Objective))
 	retryAt := later(now.Add(max(minRetryDelay, blockedFor, untilCapacity)), r.nextRetry)
 	delay := retryAt.Sub(now) + time.Duration(random*float64(retryJitter))
 	if delay > maxDelay {
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -19,57 +19,57 @@
 	// Caller identifies the caller within a class. Requests with the same value share one
 	// fair-queueing turn; requests with an empty value take no part in it.
 	Caller string
-	// Arrived is the arrival time of this attempt. FirstTry is the estimated arrival time of
+	// Arrived is the arrival time of this attempt. FirstAttempt is the estimated arrival time of
 	// the caller's first attempt.
-	Arrived, FirstTry time.Time
+	Arrived, FirstAttempt time.Time
 	// Objective is the latency objective, counted from the first attempt; a response after
 	// it is late.
 	Objective time.Duration
-	// Limit is the time until which a server may process the request. Deadline is the time
-	// at which the caller gives up.
-	Limit, Deadline time.Time
-	// Work is the expected service time.
-	Work time.Duration
+	// ExecutionDeadline is the time until which a server may process the request. Deadline is
+	// the time at which the caller gives up.
+	ExecutionDeadline, Deadline time.Time
+	// ServiceTime is the expected service time.
+	ServiceTime time.Duration
 }
 
 // latestStart returns the latest time at which a server must receive the request for its
 // response to meet the objective.
 func (r *Request) latestStart() time.Time {
-	return r.FirstTry.Add(r.Objective - r.Work)
+	return r.FirstAttempt.Add(r.Objective - r.ServiceTime)
 }
 
 // Late reports whether the response can no longer meet the objective, even if a server
 // receives the request now.
 func (r *Request) Late(now time.Time) bool { return now.After(r.latestStart()) }
 
-// Line describes the queue ahead of a request, at one server or at several
+// Queue describes the queue ahead of a request, at one server or at several
 // interchangeable ones.
-type Line struct {
+type Queue struct {
 	// Ahead is the number of queued requests that are served first.
 	Ahead int
-	// Places is the number of requests that the servers process concurrently for this node;
+	// Concurrency is the number of requests that the servers process concurrently for this node;
 	// 0 means that no server accepts requests at present.
-	Places float64
-	// Work is the mean service time of a request.
-	Work time.Duration
-	// Opens is the time for which the servers are known to accept no requests, for example
+	Concurrency float64
+	// ServiceTime is the mean service time of a request.
+	ServiceTime time.Duration
+	// BlockedFor is the time for which the servers are known to accept no requests, for example
 	// because a server's load report obliges the node to send it nothing for some time.
-	Opens time.Duration
-	// Closed is set while no server accepts requests and it is unknown when one will.
-	Closed bool
+	BlockedFor time.Duration
+	// Unavailable is set while no server accepts requests and it is unknown when one will.
+	Unavailable bool
 }
 
 // expectedWait returns the expected queueing time of a request that joins the queue.
-func (l Line) expectedWait() time.Duration {
-	return max(l.Opens, time.Duration(l.Ahead+1)*l.serviceInterval())
+func (l Queue) expectedWait() time.Duration {
+	return max(l.BlockedFor, time.Duration(l.Ahead+1)*l.serviceInterval())
 }
 
 // serviceInterval returns the mean time between two requests that the servers accept.
-func (l Line) serviceInterval() time.Duration {
-	if l.Places <= 0 {
+func (l Queue) serviceInterval() time.Duration {
+	if l.Concurrency <= 0 {
 		return 0
 	}
-	return time.Duration(float64(l.Work) / l.Places)
+	return time.Duration(float64(l.ServiceTime) / l.Concurrency)
 }
 
 // Verdict says whether a request for which no server is free is queued or refused.
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -11,8 +11,8 @@
 func requestAt(after time.Duration, priority int, caller string) *Request {
 	at := start.Add(after)
 	return &Request{
-		Class: "read", Priority: priority, Caller: caller, Arrived: at, FirstTry: at, Objective: time.Second,
-		Limit: at.Add(3 * time.Second), Deadline: at.Add(6 * time.Second), Work: 200 * time.Millisecond,
+		Class: "read", Priority: priority, Caller: caller, Arrived: at, FirstAttempt: at, Objective: time.Second,
+		ExecutionDeadline: at.Add(3 * time.Second), Deadline: at.Add(6 * time.Second), ServiceTime: 200 * time.Millisecond,
 	}
 }
 
@@ -23,7 +23,7 @@
 	late := requestAt(0, 0, "")
 	inTime, urgent := requestAt(600*time.Millisecond, 1, ""), requestAt(700*time.Millisecond, 0, "")
 	returned := requestAt(900*time.Millisecond, 1, "")
-	returned.FirstTry = start.Add(500 * time.Millisecond)
+	returned.FirstAttempt = start.Add(500 * time.Millisecond)
 	first, second, other := requestAt(800*time.Millisecond, 2, "a"), requestAt(810*time.Millisecond, 2, "a"), requestAt(820*time.Millisecond, 2, "b")
 	for _, check := range []struct {
 		name          string
@@ -47,23 +47,23 @@
 	const work = 200 * time.Millisecond
 	for _, check := range []struct {
 		name  string
-		queue Line
+		queue Queue
 		age   time.Duration
 		want  Verdict
 		// until is the time of the next decision, relative to the request's arrival.
 		until time.Duration
 	}{
-		{"in time: waits until its latest start", Line{Places: 2, Work: work, Ahead: 2}, 0, Wait, 600 * time.Millisecond},
-		{"head of the queue: may be served in time", Line{Places: 0.1, Work: work}, 0, Wait, 600 * time.Millisecond},
-		{"late, with capacity: waits for half of its timeout", Line{Places: 1, Work: work, Ahead: 9}, 0, Wait, 2800 * time.Millisecond},
-		{"late since its first attempt, with capacity", Line{Places: 1, Work: work, Ahead: 1}, 900 * time.Millisecond, Wait, 2800 * time.Millisecond},
-		{"late without capacity", Line{Places: 1, Work: work, Ahead: 20}, 0, Refuse, 0},
-		{"servers accept nothing in time", Line{Places: 1, Work: work, Opens: 4 * time.Second}, 0, Refuse, 0},
-		{"late, and no owner is known", Line{Places: 1, Work: work, Ahead: 9, Closed: true}, 0, Refuse, 0},
-		{"no server: waits for the minimum time", Line{}, 0, Wait, 240 * time.Millisecond},
+		{"in time: waits until its latest start", Queue{Concurrency: 2, ServiceTime: work, Ahead: 2}, 0, Wait, 600 * time.Millisecond},
+		{"head of the queue: may be served in time", Queue{Concurrency: 0.1, ServiceTime: work}, 0, Wait, 600 * time.Millisecond},
+		{"late, with capacity: waits for half of its timeout", Queue{Concurrency: 1, ServiceTime: work, Ahead: 9}, 0, Wait, 2800 * time.Millisecond},
+		{"late since its first attempt, with capacity", Queue{Concurrency: 1, ServiceTime: work, Ahead: 1}, 900 * time.Millisecond, Wait, 2800 * time.Millisecond},
+		{"late without capacity", Queue{Concurrency: 1, ServiceTime: work, Ahead: 20}, 0, Refuse, 0},
+		{"servers accept nothing in time", Queue{Concurrency: 1, ServiceTime: work, BlockedFor: 4 * time.Second}, 0, Refuse, 0},
+		{"late, and no owner is known", Queue{Concurrency: 1, ServiceTime: work, Ahead: 9, Unavailable: true}, 0, Refuse, 0},
+		{"no server: waits for the minimum time", Queue{}, 0, Wait, 240 * time.Millisecond},
 	} {
 		request := requestAt(0, 0, "")
-		request.FirstTry = start.Add(-check.age)
+		request.FirstAttempt = start.Add(-check.age)
 		got := Decide(start, request, check.queue)
 		if got.Verdict != check.want {
 			t.Errorf("%s: verdict %d, want %d", check.name, got.Verdict, check.want)
@@ -77,7 +77,7 @@
 // A request that is refused in the end must have been queued for at most half of its
 // timeout.
 func TestNobodyIsHeldInVainForLong(t *testing.T) {
-	for _, queue := range []Line{{}, {Places: 1, Work: time.Second}, {Places: 0.03, Work: time.Second}, {Places: 4, Work: 200 * time.Millisecond, Ahead: 40}} {
+	for _, queue := range []Queue{{}, {Concurrency: 1, ServiceTime: time.Second}, {Concurrency: 0.03, ServiceTime: time.Second}, {Concurrency: 4, ServiceTime: 200 * time.Millisecond, Ahead: 40}} {
 		request := requestAt(0, 0, "")
 		now := start
 		for range 10 {
@@ -97,14 +97,14 @@
 // servers accept requests, and no delay may exceed the fraction of its remaining time that
 // a caller respects.
 func TestReturnsAreSpread(t *testing.T) {
-	queue := Line{Places: 1, Work: 200 * time.Millisecond, Ahead: 20}
-	var returns Returns
+	queue := Queue{Concurrency: 1, ServiceTime: 200 * time.Millisecond, Ahead: 20}
+	var returns RetrySchedule
 	earliest := time.Duration(0)
 	for range 5 {
 		request := requestAt(0, 0, "")
 		request.Deadline = start.Add(30 * time.Second)
 		after := returns.After(start, request, queue, 0, 0)
-		if after < earliest+queue.Work || after > 10*time.Second {
+		if after < earliest+queue.ServiceTime || after > 10*time.Second {
 			t.Errorf("retry after %v, previous caller after %v", after, earliest)
 		}
 		earliest = after
@@ -124,24 +124,24 @@
 // A caller that was refused because the queue was slightly too long must be accepted when
 // it retries after the returned delay.
 func TestReturnMeetsALineWithRoom(t *testing.T) {
-	queue := Line{Places: 1, Work: 200 * time.Millisecond, Ahead: 15}
+	queue := Queue{Concurrency: 1, ServiceTime: 200 * time.Millisecond, Ahead: 15}
 	request := requestAt(0, 0, "")
 	if Decide(start, request, queue).Verdict != Refuse {
 		t.Fatal("not refused")
 	}
-	var returns Returns
+	var returns RetrySchedule
 	after := returns.After(start, request, queue, 0, 0)
-	queue.Ahead -= int(after / queue.Work)
+	queue.Ahead -= int(after / queue.ServiceTime)
 	again := requestAt(after, 0, "")
-	again.FirstTry, again.Deadline, again.Limit = request.FirstTry, request.Deadline, start.Add(after+3*time.Second)
+	again.FirstAttempt, again.Deadline, again.ExecutionDeadline = request.FirstAttempt, request.Deadline, start.Add(after+3*time.Second)
 	if Decide(again.Arrived, again, queue).Verdict == Refuse {
 		t.Errorf("refused again after %v", after)
 	}
 }
 
 func TestFirstTries(t *testing.T) {
-	var tries FirstTries
-	if since := tries.Since(time.Second); since != 0 {
+	var tries FirstAttempts
+	if since := tries.EstimateAge(time.Second); since != 0 {
 		t.Errorf("got %v without observations, want 0", since)
 	}
 	for range 8 {
@@ -153,14 +153,14 @@
 		{6 * time.Second, 0}, {5 * time.Second, time.Second}, {2 * time.Second, 0},
 		{1500 * time.Millisecond, 500 * time.Millisecond}, {7 * time.Second, 0},
 	} {
-		if since := tries.Since(check.left); since != check.want {
+		if since := tries.EstimateAge(check.left); since != check.want {
 			t.Errorf("%v left: first attempt %v ago, want %v", check.left, since, check.want)
 		}
 	}
 	for range historySize {
 		tries.Observe(4 * time.Second)
 	}
-	if since := tries.Since(3 * time.Second); since != time.Second {
+	if since := tries.EstimateAge(3 * time.Second); since != time.Second {
 		t.Errorf("got %v after all callers changed their timeout, want 1 s", since)
 	}
 }
--- a/internal/shardmanager/campaign.go
+++ b/internal/shardmanager/campaign.go
@@ -136,7 +136,7 @@
 // resolveCampaign reads the store to find out whether a transaction whose response was lost was
 // applied.
 func (m *Manager) resolveCampaign(ctx context.Context, attempt *candidacy, cause error) error {
-	if errors.Is(cause, topo.ErrConflict) || errors.Is(cause, topo.ErrRefused) || errors.Is(cause, topo.ErrLeaseGone) {
+	if errors.Is(cause, topo.ErrConflict) || errors.Is(cause, topo.ErrRefused) || errors.Is(cause, topo.ErrLeaseEnded) {
 		return cause
 	}
 	key := view.ManagerKey(m.service)
--- a/internal/shardmanager/renewlock.go
+++ b/internal/shardmanager/renewlock.go
@@ -45,7 +45,7 @@
 		}
 		expired := t.sinceRenewal() > outageAuthority
 		t.mutex.Unlock()
-		if errors.Is(err, topo.ErrLeaseGone) || expired {
+		if errors.Is(err, topo.ErrLeaseEnded) || expired {
 			t.manager.logger.Warn("manager lock lost", zap.Uint64("epoch", t.epoch), zap.Error(err))
 			t.endTerm()
 			return
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -79,13 +79,13 @@
 		return func() { s.world.setFaults(func(f *memory.Faults) { f.Refuse = false }) }
 	}},
 	{"store responses are lost", func(s *soak, _ *rand.Rand) func() {
-		s.world.setFaults(func(f *memory.Faults) { f.LoseAnswers = true })
-		return func() { s.world.setFaults(func(f *memory.Faults) { f.LoseAnswers = false }) }
+		s.world.setFaults(func(f *memory.Faults) { f.LoseResponses = true })
+		return func() { s.world.setFaults(func(f *memory.Faults) { f.LoseResponses = false }) }
 	}},
 	{"watches stall, then history is compacted", func(s *soak, _ *rand.Rand) func() {
-		s.world.setFaults(func(f *memory.Faults) { f.Deaf = true })
+		s.world.setFaults(func(f *memory.Faults) { f.StallWatches = true })
 		return func() {
-			s.world.setFaults(func(f *memory.Faults) { f.Deaf = false })
+			s.world.setFaults(func(f *memory.Faults) { f.StallWatches = false })
 			s.world.compact()
 		}
 	}},
--- a/internal/topo/memory/memory.go
+++ b/internal/topo/memory/memory.go
@@ -48,10 +48,10 @@
 type Faults struct {
 	// Down makes every call fail.
 	Down bool
-	// Deaf makes watches wait without reporting any change.
-	Deaf bool
-	// LoseAnswers applies transactions but fails the call, as if the response was lost.
-	LoseAnswers bool
+	// StallWatches makes watches wait without reporting any change.
+	StallWatches bool
+	// LoseResponses applies transactions but fails the call, as if the response was lost.
+	LoseResponses bool
 	// Refuse makes the store reject every call.
 	Refuse bool
 }
@@ -275,7 +275,7 @@
 	switch {
 	case s.faults.Down:
 		return nil, 0, nil, topo.ErrUnavailable
-	case s.faults.Deaf:
+	case s.faults.StallWatches:
 		return nil, after, s.changed, nil
 	case topo.EraOf(after) < s.era:
 		return nil, 0, nil, topo.ErrRestored
@@ -309,7 +309,7 @@
 	}
 	for _, put := range transaction.Puts {
 		if put.Lease != 0 && s.leases[put.Lease] == nil {
-			return 0, topo.ErrLeaseGone
+			return 0, topo.ErrLeaseEnded
 		}
 	}
 	s.revision++
@@ -320,7 +320,7 @@
 		s.remove(key)
 	}
 	s.notifyWatches()
-	if s.faults.LoseAnswers {
+	if s.faults.LoseResponses {
 		return 0, topo.ErrUnavailable
 	}
 	return s.currentRevision(), nil
@@ -347,7 +347,7 @@
 	}
 	known := s.leases[id]
 	if known == nil {
-		return topo.ErrLeaseGone
+		return topo.ErrLeaseEnded
 	}
 	known.expires = time.Now().Add(known.ttl)
 	return nil
@@ -361,7 +361,7 @@
 		return err
 	}
 	if s.leases[id] == nil {
-		return topo.ErrLeaseGone
+		return topo.ErrLeaseEnded
 	}
 	s.deleteLease(id)
 	return nil
--- a/internal/topo/topo.go
+++ b/internal/topo/topo.go
@@ -16,8 +16,8 @@
 var (
 	// ErrConflict means that a condition of a transaction did not hold. Nothing was changed.
 	ErrConflict = errors.New("transaction condition does not hold")
-	// ErrLeaseGone means that a lease has expired or was revoked. Nothing was changed.
-	ErrLeaseGone = errors.New("lease has expired or was revoked")
+	// ErrLeaseEnded means that a lease has expired or was revoked. Nothing was changed.
+	ErrLeaseEnded = errors.New("lease has expired or was revoked")
 	// ErrCompacted means that a watch requested history that the store has discarded.
 	ErrCompacted = errors.New("requested history has been compacted")
 	// ErrRestored means that a watch requested changes since a revision of an earlier era,
--- a/internal/upstream/ack_monitor.go
+++ b/internal/upstream/ack_monitor.go
@@ -59,16 +59,16 @@
 }
 
 // monitorAck starts a monitor that resets a reused connection if the request stays
-// unacknowledged for longer than request.Silence and data sent after it has arrived. The
+// unacknowledged for longer than request.AckTimeout and data sent after it has arrived. The
 // returned function stops the monitor and reports whether it has reset the connection.
 func (c *connection) monitorAck(ctx context.Context, request *Request) (stopMonitor func() bool) {
-	if !c.reused || request.Silence <= 0 {
+	if !c.reused || request.AckTimeout <= 0 {
 		return func() bool { return false }
 	}
 	m := &ackMonitor{connection: c, sentAt: time.Now()}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.timer = time.AfterFunc(request.Silence, func() { m.check(ctx) })
+	m.timer = time.AfterFunc(request.AckTimeout, func() { m.check(ctx) })
 	return m.stop
 }
 
--- a/internal/upstream/ack_monitor_test.go
+++ b/internal/upstream/ack_monitor_test.go
@@ -58,7 +58,7 @@
 			pool := NewPool(serveOneRequest(t), NewLink())
 			defer pool.Close()
 			pool.unacknowledged = func(net.Conn) (int, error) { return test.unacknowledged, nil }
-			request := &Request{Method: http.MethodGet, URI: "/", Host: "h", Silence: 50 * time.Millisecond}
+			request := &Request{Method: http.MethodGet, URI: "/", Host: "h", AckTimeout: 50 * time.Millisecond}
 			if _, err := pool.Exchange(t.Context(), request); err != nil {
 				t.Fatal(err)
 			}
@@ -67,8 +67,8 @@
 			defer cancel()
 			startedAt := time.Now()
 			_, err := pool.Exchange(ctx, request)
-			if got := errors.Is(err, ErrSilent); got != test.silent {
-				t.Errorf("got error %v after %v; matches ErrSilent: %v, want %v", err, time.Since(startedAt), got, test.silent)
+			if got := errors.Is(err, ErrUnacknowledged); got != test.silent {
+				t.Errorf("got error %v after %v; matches ErrUnacknowledged: %v, want %v", err, time.Since(startedAt), got, test.silent)
 			}
 			if errors.Is(err, ErrNotSent) {
 				t.Error("got ErrNotSent, but bytes of the request may still arrive")
@@ -99,7 +99,7 @@
 	pool := NewPool(server.Listener.Addr().String(), NewLink())
 	defer pool.Close()
 	request := func(path string) *Request {
-		return &Request{Method: http.MethodGet, URI: path, Host: "h", Silence: silence}
+		return &Request{Method: http.MethodGet, URI: path, Host: "h", AckTimeout: silence}
 	}
 	if _, err := pool.Exchange(t.Context(), request("/")); err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 	gone, other := NewPool(serveOneRequest(t), link), NewPool(serveOneRequest(t), link)
 	defer gone.Close()
 	defer other.Close()
-	request := &Request{Method: http.MethodGet, URI: "/", Host: "h", Silence: 50 * time.Millisecond}
+	request := &Request{Method: http.MethodGet, URI: "/", Host: "h", AckTimeout: 50 * time.Millisecond}
 	if _, err := gone.Exchange(t.Context(), request); err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 	defer cancel()
 	const pause = 10 * time.Millisecond
 	time.AfterFunc(pause, func() { _, _ = other.Exchange(ctx, request) })
-	if _, err := gone.Exchange(ctx, request); !errors.Is(err, ErrSilent) {
-		t.Errorf("got error %v, want ErrSilent", err)
+	if _, err := gone.Exchange(ctx, request); !errors.Is(err, ErrUnacknowledged) {
+		t.Errorf("got error %v, want ErrUnacknowledged", err)
 	}
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -28,26 +28,26 @@
 var (
 	// ErrNotSent means that no byte of the request reached the server process.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrTurnedAway is set in addition to ErrNotSent if the server closed a new connection
+	// ErrConnectionLimit is set in addition to ErrNotSent if the server closed a new connection
 	// immediately: it is running, but at its connection limit.
-	ErrTurnedAway = errors.New("server takes no more connections")
-	// ErrNoAnswer means that the request may have run but no response was received.
-	ErrNoAnswer = errors.New("no answer")
+	ErrConnectionLimit = errors.New("server takes no more connections")
+	// ErrNoResponse means that the request may have run but no response was received.
+	ErrNoResponse = errors.New("no answer")
 	// ErrUndelivered is set in addition if the server's machine had not acknowledged the whole
 	// request when this node reset the connection: the remaining bytes never arrive.
 	ErrUndelivered = errors.New("request was not delivered")
-	// ErrSilent is set in addition if the server's machine did not acknowledge the request on
-	// a reused connection in time: that connection is lost, but new ones may work.
-	ErrSilent = errors.New("connection is silent")
-	// ErrBadAnswer means that the response is truncated or malformed. The request may have
+	// ErrUnacknowledged is set in addition if the server's machine did not acknowledge the
+	// request on a reused connection in time: that connection is lost, but new ones may work.
+	ErrUnacknowledged = errors.New("connection is silent")
+	// ErrBadResponse means that the response is truncated or malformed. The request may have
 	// run.
-	ErrBadAnswer = errors.New("answer is damaged")
+	ErrBadResponse = errors.New("answer is damaged")
 )
 
 const (
 	dialTimeout = 400 * time.Millisecond
 	// ackTimeout is the time without acknowledgement from the server's machine after which
-	// the kernel closes a connection, idle or not. Request.Silence sets a shorter bound for
+	// the kernel closes a connection, idle or not. Request.AckTimeout sets a shorter bound for
 	// requests.
 	ackTimeout = time.Second
 	// maxSettleTime bounds the time for which a new connection is observed before a request is
@@ -85,17 +85,17 @@
 	Body   []byte
 	// Rest is the part of the body after Body; nil if Body is complete.
 	Rest io.Reader
-	// Silence is the time for which the request may stay unacknowledged on a reused
+	// AckTimeout is the time for which the request may stay unacknowledged on a reused
 	// connection. After it, the connection is reset as soon as data sent later is known to
 	// have arrived. 0 disables this check.
-	Silence time.Duration
+	AckTimeout time.Duration
 	// IDHeader and ID are the name and value of the header field that identifies the response
 	// to this request. An empty ID accepts any response.
 	IDHeader, ID string
 }
 
-// Answer is a server's response.
-type Answer struct {
+// Response is a server's response.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body is the whole body, or its beginning if Rest is not nil. The caller must close Rest.
@@ -276,7 +276,7 @@
 	startedAt := time.Now()
 	socket, err := p.dial(ctx, p.address)
 	if errors.Is(err, syscall.ECONNRESET) {
-		err = errors.Mark(err, ErrTurnedAway)
+		err = errors.Mark(err, ErrConnectionLimit)
 	}
 	if err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "connect to %s", p.address), ErrNotSent)
@@ -286,7 +286,7 @@
 	if !sockets.IsIdle(socket) {
 		// The server has already closed it; an error of closing it has no consequence.
 		_ = socket.Close()
-		return nil, errors.Mark(errors.Wrapf(ErrTurnedAway, "connect to %s", p.address), ErrNotSent)
+		return nil, errors.Mark(errors.Wrapf(ErrConnectionLimit, "connect to %s", p.address), ErrNotSent)
 	}
 	return &connection{pool: p, socket: socket, usableFor: defaultKeepAlive - keepAliveMargin}, nil
 }
@@ -314,7 +314,7 @@
 
 // Exchange sends a request and returns the response. When the context ends, the connection
 // is closed, which signals the server to stop processing the request.
-func (p *Pool) Exchange(ctx context.Context, request *Request) (*Answer, error) {
+func (p *Pool) Exchange(ctx context.Context, request *Request) (*Response, error) {
 	c, err := p.open(ctx)
 	if err != nil {
 		return nil, err
@@ -332,7 +332,7 @@
 	}
 	if stopMonitor() && err != nil {
 		p.closeIdleSince(sentAt)
-		err = errors.Mark(err, ErrSilent)
+		err = errors.Mark(err, ErrUnacknowledged)
 	}
 	if !stop() && err == nil {
 		// The context ended while the response arrived. The response is complete, but the
@@ -368,20 +368,20 @@
 
 // exchange sends a request, reads the response and reports whether the connection can be
 // reused.
-func (c *connection) exchange(request *Request) (*Answer, bool, error) {
+func (c *connection) exchange(request *Request) (*Response, bool, error) {
 	c.attachReader()
 	bodyDone, err := c.write(request)
 	if err != nil {
-		return nil, false, errors.Mark(errors.Wrap(err, "send request"), ErrNoAnswer)
+		return nil, false, errors.Mark(errors.Wrap(err, "send request"), ErrNoResponse)
 	}
 	response, skipped, err := c.readMatching(request)
 	if err != nil {
 		return nil, false, err
 	}
-	answer := &Answer{Status: response.StatusCode, Header: response.Header}
+	answer := &Response{Status: response.StatusCode, Header: response.Header}
 	answer.Body, err = io.ReadAll(io.LimitReader(response.Body, maxBufferedBody))
 	if err != nil {
-		return nil, false, errors.Mark(errors.Wrap(err, "read answer"), ErrBadAnswer)
+		return nil, false, errors.Mark(errors.Wrap(err, "read answer"), ErrBadResponse)
 	}
 	if len(answer.Body) == maxBufferedBody {
 		answer.Rest = response.Body
@@ -424,7 +424,7 @@
 	for range maxResponsesRead {
 		response, err := http.ReadResponse(c.reader, method)
 		if err != nil {
-			return nil, skipped, errors.Mark(errors.Wrap(err, "read answer"), ErrNoAnswer)
+			return nil, skipped, errors.Mark(errors.Wrap(err, "read answer"), ErrNoResponse)
 		}
 		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
@@ -437,7 +437,7 @@
 			break
 		}
 	}
-	return nil, skipped, errors.Wrap(ErrNoAnswer, "only answers to other requests came")
+	return nil, skipped, errors.Wrap(ErrNoResponse, "only answers to other requests came")
 }
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -49,8 +49,8 @@
 			return pause
 		}
 		_, err := pool.Exchange(context.Background(), &Request{Method: http.MethodPost, URI: "/", Host: "h"})
-		if !errors.Is(err, ErrNotSent) || !errors.Is(err, ErrTurnedAway) {
-			t.Fatalf("got error %v, want ErrNotSent and ErrTurnedAway", err)
+		if !errors.Is(err, ErrNotSent) || !errors.Is(err, ErrConnectionLimit) {
+			t.Fatalf("got error %v, want ErrNotSent and ErrConnectionLimit", err)
 		}
 		wait()
 	}
@@ -79,8 +79,8 @@
 	pool := NewPool(listener.Addr().String(), NewLink())
 	defer pool.Close()
 	_, err = pool.Exchange(context.Background(), &Request{Method: http.MethodPost, URI: "/", Host: "h"})
-	if !errors.Is(err, ErrNoAnswer) || errors.Is(err, ErrNotSent) {
-		t.Errorf("got error %v, want ErrNoAnswer only", err)
+	if !errors.Is(err, ErrNoResponse) || errors.Is(err, ErrNotSent) {
+		t.Errorf("got error %v, want ErrNoResponse only", err)
 	}
 	if accepted.Load() != 1 {
 		t.Errorf("%d connections, want one", accepted.Load())
