--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -22,7 +22,7 @@
 type attemptOutcome int
 
 const (
-	// answered means that the server's answer is final.
+	// answered means that the server's response is final.
 	answered attemptOutcome = iota
 	// notSent means that no part of the request reached the server.
 	notSent
@@ -42,7 +42,7 @@
 		comeBackSeconds.WithLabelValues(refusal.Reason.String()).Observe(refusal.RetryAfter.Seconds())
 	}
 	if answer != nil && answer.Rest != nil {
-		// An answer that has begun is streamed for as long as its connection lasts.
+		// A response that has begun is streamed for as long as its connection lasts.
 		bounds.Detach()
 		answer.Rest = &cancelingReader{answer.Rest, bounds.Release}
 		return answer, trace, nil
@@ -155,7 +155,7 @@
 }
 
 // finalError returns the error for a request that no server answered, or nil if a server's
-// error answer is passed on. cause is why the last attempt failed.
+// error response is passed on. cause is why the last attempt failed.
 func (d *Dispatcher) finalError(ctx context.Context, request *Request, mayHaveRun bool, last *upstream.Response, cause error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled) && !ending.EndedByShutdown(ctx):
@@ -200,7 +200,7 @@
 		d.rejected(request, s, answer)
 	}
 	if outcome == failed && answer.Rest != nil {
-		// A streamed error answer is not kept as the fallback for the case that no other
+		// A streamed error response is not kept as the fallback for the case that no other
 		// server answers, so its connection is closed. An error from Close changes nothing.
 		_ = answer.Rest.Close()
 		return nil, outcome, errors.Newf("server failed with %d and a long answer", answer.Status)
@@ -250,7 +250,7 @@
 	statusGatewayTimeout = 504
 )
 
-// classify determines the outcome of an attempt from the server's answer.
+// classify determines the outcome of an attempt from the server's response.
 func (d *Dispatcher) classify(request *Request, answer *upstream.Response) (attemptOutcome, error) {
 	if answer.Header.Get(d.headers.NotExecuted) != "" || answer.Status == statusMisdirected {
 		return rejected, errors.Newf("server refused with %d", answer.Status)
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -17,7 +17,7 @@
 	// that servers refuse and retries by clients count against the bounds too.
 	budgetSafety = 0.6
 	// fewestNodes is the minimum number of nodes assumed to share the slack. A node that
-	// has just started may not know the others yet.
+	// has just started may not have discovered the others yet.
 	fewestNodes = 4
 	// ticksPerSecond is how often per second the time-based tokens are added.
 	ticksPerSecond = 20
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -16,8 +16,8 @@
 	crossZoneCost = 4
 	// warmingCost is the cost factor of a server that was started recently.
 	warmingCost = 1.8
-	// rightCost is the cost factor of a warming server that this node currently has the
-	// right to send to. Send rights are few and expire if unused.
+	// rightCost is the cost factor of a warming server that this node currently has a
+	// permit to send to. Send permits are few and expire if unused.
 	rightCost = 0.2
 	// defaultLatency is the assumed latency, in seconds, of a server that has not answered
 	// yet.
@@ -61,7 +61,7 @@
 }
 
 // owners returns the owner map of the request's service, and whether the service is
-// key-divided, that is, whether each key is served by one owner.
+// sharded, that is, whether each key is served by one owner.
 func (d *Dispatcher) owners(current *view.View, request *Request) (view.Owners, bool) {
 	if current.Table == nil {
 		return view.Owners{}, false
--- a/internal/dispatch/coldprobes.go
+++ b/internal/dispatch/coldprobes.go
@@ -21,14 +21,14 @@
 	// tolerates that a cold server gets its usual requests, instead of the reduced rate, for
 	// half a second.
 	probeInterval = 500 * time.Millisecond
-	// probeTimeout is how long a probe waits for an answer.
+	// probeTimeout is how long a probe waits for a response.
 	probeTimeout = 400 * time.Millisecond
 	// maxProbes bounds the probes in flight.
 	maxProbes = 32
 )
 
-// ColdServerFunc is called when a server reports in answer to a probe that it is warming up for
-// the given time.
+// ColdServerFunc is called when a server reports in response to a probe that it is warming up
+// for the given time.
 //
 // A server may turn cold without a restart, which its registration then says. While the
 // store is unavailable, nodes do not learn this from the registration; such a server kept
@@ -138,8 +138,8 @@
 	}
 }
 
-// probe asks one server and notifies the other nodes if it is newly found cold. No answer,
-// or the answer of another server at the same address, is not evidence.
+// probe asks one server and notifies the other nodes if it is newly found cold. No
+// response, or the response of another server at the same address, is not evidence.
 func (d *Dispatcher) probe(ctx context.Context, due probe) {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/dispatch/coldprobes_test.go
+++ b/internal/dispatch/coldprobes_test.go
@@ -56,7 +56,7 @@
 }
 
 // newProbingNode returns a running node n0 whose copy of the store has the given age, and
-// whose only server answers probes with answers.
+// whose only server uses answers as its handler.
 func newProbingNode(t *testing.T, answers *fakeHealthServer, rate float64, age time.Duration) (*testNode, chan discovery.ServerID) {
 	t.Helper()
 	server := httptest.NewServer(answers)
--- a/internal/dispatch/coldranges.go
+++ b/internal/dispatch/coldranges.go
@@ -15,7 +15,7 @@
 	// ranges that a node sends although they are expected to be late, to notice when they
 	// no longer are. All nodes together send 16 of them per second.
 	trialInterval = 60 * time.Millisecond
-	// livenessWindow is how long after an answer a server counts as alive. Only then does a
+	// livenessWindow is how long after a response a server counts as alive. Only then does a
 	// request that it did not answer in time indicate that the range is slow.
 	livenessWindow = time.Second
 )
@@ -36,7 +36,7 @@
 	lastTrialAt time.Time
 }
 
-// update applies a newer owner map. The first map that a node sees does not tell when
+// update applies a newer owner map. The first map that a node sees does not indicate when
 // owners received their ranges.
 func (c *coldRanges) update(now time.Time, owners *shards.Owners, warmUp time.Duration) {
 	if owners == nil || c.owners == owners {
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -31,7 +31,7 @@
 }
 
 // newAbortingNode returns a node whose only server calls before and then closes each
-// connection without an answer.
+// connection without a response.
 func newAbortingNode(t *testing.T, before func(server *httptest.Server, builder *view.Builder)) (*Dispatcher, *recordingGuard) {
 	t.Helper()
 	var builder *view.Builder
@@ -51,8 +51,8 @@
 	return d, guard
 }
 
-// A connection may end without an answer for many reasons. A server has crashed only if its
-// machine refuses the next connection and the server was not leaving.
+// A connection may end without a response for many reasons. A server has crashed only if
+// its machine refuses the next connection and the server was not leaving.
 func TestOnlyServersThatRefuseConnectionsHaveCrashed(t *testing.T) {
 	closeAll := func(server *httptest.Server, _ *view.Builder) { _ = server.Listener.Close() }
 	for _, c := range []struct {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -38,25 +38,25 @@
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// Headers are the header names used in requests to servers and in their answers.
+	// Headers are the header names used in requests to servers and in their responses.
 	Headers Headers
 }
 
 // Headers are the names of the headers that the dispatcher reads and writes, and the
-// functions that parse the answers' headers.
+// functions that parse the responses' headers.
 type Headers struct {
 	RequestID   string
 	Deadline    string
 	Signature   string
 	Target      string
 	NotExecuted string
-	// Load parses the load that a server reports in an answer; nil if servers do not report
+	// Load parses the load that a server reports in a response; nil if servers do not report
 	// it.
 	Load func(answer http.Header) (discovery.Load, bool)
-	// Health parses the answer to a health check: which server sent it, and how long that
+	// Health parses the response to a health check: which server sent it, and how long that
 	// server is still warming up. It is nil if servers do not report this.
 	Health func(answer http.Header) (instance string, warmUp time.Duration)
-	// Signals parses the backpressure signals in an answer with the given status; nil if
+	// Signals parses the backpressure signals in a response with the given status; nil if
 	// servers send none.
 	Signals func(status int, answer http.Header) backpressure.Signals
 }
@@ -72,7 +72,7 @@
 
 	mutex   sync.Mutex
 	options Options
-	// servers holds the servers of the view, except those of key-divided services that have
+	// servers holds the servers of the view, except those of sharded services that have
 	// had no request yet. services holds the state per service. pooled holds the servers
 	// with a connection pool. lapsed holds the servers whose registration is missing but
 	// may return.
@@ -83,7 +83,7 @@
 	waiting  map[string][]*waiter
 	budgets  map[string]*budget
 	// returns holds, by service, when refused callers are expected to retry. For
-	// key-divided services that is kept with each server.
+	// sharded services that is kept with each server.
 	returns map[string]*schedule.RetrySchedule
 	// firstTries holds, by route, the estimate of when callers sent their first attempt.
 	firstTries map[string]*schedule.FirstAttempts
@@ -118,7 +118,7 @@
 	// handoffSender hands requests off to the home nodes of their servers; nil if this node
 	// sends all requests itself.
 	handoffSender HandoffSender
-	// sizes holds, by route, the moving mean of answer sizes in bytes.
+	// sizes holds, by route, the moving mean of response sizes in bytes.
 	sizes map[string]float64
 }
 
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -62,11 +62,11 @@
 		share.observe(now, false)
 	}
 	if got := share.now(now); got > 0.05 {
-		t.Errorf("failure rate %.2f after 20 answers", got)
+		t.Errorf("failure rate %.2f after 20 responses", got)
 	}
 }
 
-// No other server can replace the owner of a key, so a single error answer of the owner
+// No other server can replace the owner of a key, so a single error response of the owner
 // does not block the key's next requests.
 func TestOwnerThatFailedARequestGetsTheNextOne(t *testing.T) {
 	w := newTestNode(t, 1, "divided z 0s")
--- a/internal/dispatch/handoff.go
+++ b/internal/dispatch/handoff.go
@@ -22,12 +22,12 @@
 	ErrHomeLost = errors.New("home was lost")
 )
 
-// Destination is where a request is handed off to, as far as this node knows.
+// Destination is where a request is handed off to, according to this node's view.
 type Destination struct {
-	// Server is the owner of the request's key; empty if the service is undivided.
+	// Server is the owner of the request's key; empty if the service is unsharded.
 	Server discovery.ServerID
 	Zone   string
-	// Homes are the nodes that may take the request if the service is undivided, in the
+	// Homes are the nodes that may take the request if the service is unsharded, in the
 	// order in which they are asked. Each sends it to one of its own servers.
 	Homes        []homes.Node
 	MapRevision  int64
@@ -36,10 +36,10 @@
 
 // HandoffSender hands requests off to the home nodes of their servers. A home keeps one queue
 // for the requests of all nodes to a server. Without homes, nodes that each send two
-// requests a second or fewer to a server would neither know its load nor keep connections
-// to it.
+// requests a second or fewer to a server would neither have current load data nor keep
+// connections to it.
 type HandoffSender interface {
-	// Do returns the home's answer. Its error is one of this package's errors, or matches
+	// Do returns the home's response. Its error is one of this package's errors, or matches
 	// one of the errors above. limit is when the request must be answered.
 	Do(ctx context.Context, request *Request, limit time.Time, to Destination) (*upstream.Response, Trace, error)
 }
@@ -62,11 +62,11 @@
 	// maxHandoffBody is the largest body, in bytes, of a request that is handed off.
 	// Passing a longer body through a second node costs more than a shared queue saves.
 	maxHandoffBody = 64 << 10
-	// maxHandoffAnswer is the mean answer size, in bytes, above which a route is not handed
-	// off. On a node's link of 10 Mbit/s an answer of this size delays all others by 13 ms.
-	// With answers of 90 KB (72 ms), the latency of all routes rose by 60 ms.
+	// maxHandoffAnswer is the mean response size, in bytes, above which a route is not handed
+	// off. On a node's link of 10 Mbit/s a response of this size delays all others by 13 ms.
+	// With responses of 90 KB (72 ms), the latency of all routes rose by 60 ms.
 	maxHandoffAnswer = 16 << 10
-	// sizeGain is the weight of one answer in the moving mean of a route's answer sizes.
+	// sizeGain is the weight of one response in the moving mean of a route's response sizes.
 	sizeGain = 0.1
 	// homeConnectionFraction is the home's fraction of the connections that nodes use for a
 	// server. The other nodes share the rest, for requests that they send themselves.
@@ -122,7 +122,7 @@
 	return answer, trace, err
 }
 
-// recordAnswerSize updates the mean answer size of the request's route.
+// recordAnswerSize updates the mean response size of the request's route.
 func (d *Dispatcher) recordAnswerSize(request *Request, answer *upstream.Response) {
 	if d.handoffSender == nil || answer == nil {
 		return
@@ -137,7 +137,7 @@
 	d.sizes[request.Route.Name] = mean + sizeGain*(size-mean)
 }
 
-// answersTooLarge reports whether the answers of a request's route are too large to be
+// answersTooLarge reports whether the responses of a request's route are too large to be
 // passed through a second node. The caller holds the mutex.
 func (d *Dispatcher) answersTooLarge(request *Request) bool {
 	return d.sizes[request.Route.Name] > maxHandoffAnswer
@@ -145,7 +145,7 @@
 
 // retryAfterHomeLoss continues with a request that a lost home may have sent. If the home
 // had announced the attempt, sending the request again is an ordinary retry. Otherwise the
-// home most likely never sent it. However, a request that was queued behind large answers
+// home most likely never sent it. However, a request that was queued behind large responses
 // on the home's link was once sent 0.3 s after its sender had given it up. It is therefore
 // counted as one of the route's attempts, and the final outcome is reported as unknown
 // rather than not executed.
@@ -171,7 +171,7 @@
 }
 
 // destination returns where a request goes, and whether it is to be handed off to a home.
-// Servers that are warming up get requests only from the nodes with send rights for them,
+// Servers that are warming up get requests only from the nodes with send permits for them,
 // not through homes.
 func (d *Dispatcher) destination(request *Request) (Destination, bool) {
 	if d.handoffSender == nil || request.IncomingHandoff != nil || request.Rest != nil || len(request.Body) > maxHandoffBody {
@@ -200,7 +200,7 @@
 }
 
 // Takes reports whether this node, as a home, accepts a request that another node hands
-// off. It must not be shutting down. For a key-divided service, its owner map must be at
+// off. It must not be shutting down. For a sharded service, its owner map must be at
 // least as new as the sender's and name an owner that is not warming up.
 func (d *Dispatcher) Takes(request *Request, to Destination) bool {
 	if _, stopping := d.ending.Deadline(); stopping {
@@ -234,8 +234,8 @@
 	}
 }
 
-// TakeHome records that this node is the home of a server of a key-divided service. An
-// empty id is ignored: the homes of undivided services are computed locally.
+// TakeHome records that this node is the home of a server of a sharded service. An
+// empty id is ignored: the homes of unsharded services are computed locally.
 func (d *Dispatcher) TakeHome(id discovery.ServerID) {
 	if id != "" {
 		d.setHome(id, true)
@@ -278,7 +278,7 @@
 	}
 }
 
-// notifyRetry tells the node that handed a request off that it is about to be sent again.
+// notifyRetry notifies the node that handed a request off that it is about to be sent again.
 func (r *Request) notifyRetry() {
 	if r.IncomingHandoff != nil && r.IncomingHandoff.AnnounceRetry != nil {
 		r.IncomingHandoff.AnnounceRetry()
--- a/internal/dispatch/handoff_test.go
+++ b/internal/dispatch/handoff_test.go
@@ -140,13 +140,13 @@
 			request := hedgeableRequest(d)
 			request.IncomingHandoff = &IncomingHandoff{Confirm: func(context.Context) error { return nil }, AnnounceRetry: func() { told.Add(1) }}
 			if _, trace, err := d.Do(t.Context(), request); err != nil || trace.Attempts != 2 {
-				t.Errorf("error %v after %d attempts, wanted an answer after two", err, trace.Attempts)
+				t.Errorf("error %v after %d attempts, wanted a response after two", err, trace.Attempts)
 			}
 		})
 	}
 }
 
-// Requests of routes with large answers are not handed off.
+// Requests of routes with large responses are not handed off.
 func TestLargeAnswersGoDirect(t *testing.T) {
 	w, handover := newTestNodeWithHomes(t, ErrNoHome, warmDivided)
 	w.setOwner(t, "s0")
@@ -154,7 +154,7 @@
 	w.recordAnswerSize(request, &upstream.Response{Body: make([]byte, 90<<10)})
 	_, _, _ = w.Do(t.Context(), request)
 	if handover.count != 0 {
-		t.Error("a request with a large answer was handed off")
+		t.Error("a request with a large response was handed off")
 	}
 }
 
@@ -188,11 +188,11 @@
 	}
 }
 
-// Warming servers get requests only from the nodes with send rights, so none through homes.
+// Warming servers get requests only from the nodes with send permits, so none through homes.
 func TestWarmingServersGetNothingThroughHomes(t *testing.T) {
 	w, handover := newTestNodeWithHomes(t, ErrNoHome, "divided z 3s")
 	w.setOwner(t, "s0")
-	// Whether the request is sent depends on the send rights, so the result is ignored.
+	// Whether the request is sent depends on the send permits, so the result is ignored.
 	_, _, _ = w.Do(t.Context(), requestFor("divided", false))
 	if handover.count != 0 {
 		t.Error("a request for a warming server was handed off")
@@ -318,7 +318,7 @@
 	}
 }
 
-// Each server of an undivided service has one home. The home sends to its own servers
+// Each server of an unsharded service has one home. The home sends to its own servers
 // first, and to others only after a request has waited for a fraction of its objective.
 func TestHomeSendsToItsServers(t *testing.T) {
 	servers := make([]string, 20)
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -36,7 +36,7 @@
 }
 
 // sendHedged sends a request to a server and, if that is slow, to a second one. The first
-// answer wins. The other attempt is canceled, which closes its connection to the server.
+// response wins. The other attempt is canceled, which closes its connection to the server.
 // sendHedged returns the server that the result comes from.
 func (d *Dispatcher) sendHedged(ctx context.Context, request *Request, s *server, deadline time.Time, trace *Trace, excluded map[discovery.ServerID]bool) (*server, *upstream.Response, attemptOutcome, error) {
 	delay, may := d.hedgeDelay(request, s, trace)
@@ -99,14 +99,14 @@
 	}
 }
 
-// discard cancels a hedged attempt and closes its answer.
+// discard cancels a hedged attempt and closes its response.
 func (t *hedgedAttempt) discard() {
 	t.cancel()
 	<-t.done
 	discardRest(t.answer)
 }
 
-// discardRest closes the connection of an answer that is not passed on.
+// discardRest closes the connection of a response that is not passed on.
 func discardRest(answer *upstream.Response) {
 	if answer != nil && answer.Rest != nil {
 		// An error from Close changes nothing.
@@ -114,8 +114,8 @@
 	}
 }
 
-// cancelWithAnswer cancels an attempt's context at once if its answer is complete, and
-// otherwise when the rest of the answer is closed.
+// cancelWithAnswer cancels an attempt's context at once if its response is complete, and
+// otherwise when the rest of the response is closed.
 func cancelWithAnswer(answer *upstream.Response, cancel context.CancelFunc) *upstream.Response {
 	if answer == nil || answer.Rest == nil {
 		cancel()
@@ -126,8 +126,8 @@
 }
 
 // hedgeDelay returns the time after which a request may be sent to a second server; false
-// if it may not. The request has to be repeatable, its service undivided, and the second
-// server's answer has to be expected in time.
+// if it may not. The request has to be repeatable, its service unsharded, and the second
+// server's response has to be expected in time.
 func (d *Dispatcher) hedgeDelay(request *Request, first *server, trace *Trace) (time.Duration, bool) {
 	if !request.Route.Repeatable || request.Rest != nil || trace.Attempts+2 > request.Route.MaxAttempts {
 		return 0, false
--- a/internal/dispatch/hedge_race_test.go
+++ b/internal/dispatch/hedge_race_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// If both servers answer before the node has processed either answer, the selected answer
-// is delivered completely, even if it is streamed.
+// If both servers answer before the node has processed either response, the selected
+// response is delivered completely, even if it is streamed.
 func TestAnswerThatWinsIsWholeThoughBothCome(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), 4<<20)
 	var both sync.WaitGroup
@@ -25,7 +25,7 @@
 	d, _, _ := newServerPair(t, answer, answer)
 	go func() {
 		both.Wait()
-		// Neither attempt can finish while the mutex is held. If an answer arrives later,
+		// Neither attempt can finish while the mutex is held. If a response arrives later,
 		// the race is not exercised and the test passes.
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
@@ -37,11 +37,11 @@
 	}
 	got := len(taken.Body)
 	if taken.Rest != nil {
-		// By then the other attempt has done whatever it does to this answer.
+		// By then the other attempt has done whatever it does to this response.
 		time.Sleep(50 * time.Millisecond)
 		rest, err := io.ReadAll(taken.Rest)
 		if err != nil {
-			t.Errorf("reading the answer: %v", err)
+			t.Errorf("reading the response: %v", err)
 		}
 		// The connection may already be closed.
 		_ = taken.Rest.Close()
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// A streamed error answer is not kept as a fallback, and no part of it is returned as a
-// complete answer.
+// A streamed error response is not kept as a fallback, and no part of it is returned as a
+// complete response.
 func TestLongFailureIsNoAnswerInPart(t *testing.T) {
 	fail := func(writer http.ResponseWriter, incoming *http.Request) {
 		sign(writer, incoming)
@@ -214,6 +214,6 @@
 	d, _, _ := newServerPair(t, fail, fail)
 	answer, _, err := d.Do(context.Background(), hedgeableRequest(d))
 	if answer != nil || !errors.Is(err, ErrUnknown) {
-		t.Errorf("answer %v, error %v, wanted an unknown outcome", answer != nil, err)
+		t.Errorf("response %v, error %v, wanted an unknown outcome", answer != nil, err)
 	}
 }
--- a/internal/dispatch/homeassignment.go
+++ b/internal/dispatch/homeassignment.go
@@ -10,11 +10,11 @@
 	"github.com/micahaven/micahaven/internal/view"
 )
 
-// maxHomesAsked is the number of homes of an undivided service that a request is offered to
+// maxHomesAsked is the number of homes of an unsharded service that a request is offered to
 // before the node sends it itself.
 const maxHomesAsked = 3
 
-// homeAssignment assigns the servers of an undivided service in this node's zone to homes.
+// homeAssignment assigns the servers of an unsharded service in this node's zone to homes.
 // It is updated per changed server; the homes are recomputed when the zone's nodes or the
 // total number of slots have changed.
 type homeAssignment struct {
@@ -83,7 +83,7 @@
 	s.setHome(now, home.Name == options.Node)
 }
 
-// homeAssignmentOf returns the current assignment for an undivided service, recomputed if
+// homeAssignmentOf returns the current assignment for an unsharded service, recomputed if
 // it is stale. The caller holds the mutex.
 func (d *Dispatcher) homeAssignmentOf(current *view.View, name string) *homeAssignment {
 	svc := d.services[name]
@@ -115,7 +115,7 @@
 	return v
 }
 
-// homeGroup returns the servers of an undivided service whose home is this node. The caller
+// homeGroup returns the servers of an unsharded service whose home is this node. The caller
 // holds the mutex.
 func (d *Dispatcher) homeGroup(current *view.View, name string) map[discovery.ServerID]*server {
 	if d.handoffSender == nil {
@@ -124,7 +124,7 @@
 	return d.homeAssignmentOf(current, name).groups[d.options.Node]
 }
 
-// homesFor returns the homes of an undivided service in this node's zone that a request is
+// homesFor returns the homes of an unsharded service in this node's zone that a request is
 // offered to: a random selection weighted by slots, of which the later ones serve as
 // fallbacks. It returns none if this node may send the request to a server that is warming
 // up. The caller holds the mutex.
@@ -172,7 +172,7 @@
 	spillCost = 2
 )
 
-// maySpill reports whether a request may be sent to a server of an undivided service now,
+// maySpill reports whether a request may be sent to a server of an unsharded service now,
 // and the cost factor if the server belongs to another home.
 func (d *Dispatcher) maySpill(now time.Time, request *Request, s *server, atHome bool) (cost float64, may bool) {
 	if !atHome || s.isHome {
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -11,15 +11,15 @@
 	// firstLimit is the initial limit. With an initial limit of one, a single request that
 	// hangs would block all other requests of this node.
 	firstLimit = 2
-	// increaseStep is how much one answer raises the limit.
+	// increaseStep is how much one response raises the limit.
 	increaseStep = 0.1
 	// homeIncreaseStep is the step at the server's home. It can be larger because the home
-	// knows its own requests at the server and soon notices when there are too many.
+	// tracks its own requests at the server and soon detects when there are too many.
 	homeIncreaseStep = 0.5
 
-	// slowFraction applies to servers that do not report their load. Answers that take more
+	// slowFraction applies to servers that do not report their load. Responses that take more
 	// than this fraction of the objective indicate that too many requests wait at the
-	// server. Such an answer lowers the limit by decreaseStep, to a minimum of one request.
+	// server. Such a response lowers the limit by decreaseStep, to a minimum of one request.
 	slowFraction = 0.5
 	decreaseStep = 0.5
 
@@ -27,13 +27,13 @@
 	// that reports its load. With one, a request waits for about one service time and the
 	// slots are never idle; a longer queue would only add latency.
 	queuePerSlot = 1.0
-	// minDecreaseFactor is the smallest factor by which one answer that reports a longer
+	// minDecreaseFactor is the smallest factor by which one response that reports a longer
 	// queue lowers the limit, and minLimit the smallest limit. With about a hundred nodes
 	// at minLimit, the server still gets only a few requests at a time.
 	minDecreaseFactor = 0.25
 	minLimit          = 0.03
 	// recoveryTime is the time constant with which a limit below one request grows without
-	// answers (by a factor of 2.7). The reported load is outdated by then, and the node has
+	// responses (by a factor of 2.7). The reported load is outdated by then, and the node has
 	// to try again.
 	recoveryTime = 2 * time.Second
 )
@@ -104,9 +104,9 @@
 	return max(1, int(l.now(now, slots)))
 }
 
-// observeLoad adapts the limit to the load that a server reported with an answer; elapsed
-// is the latency of that answer. All nodes share the server's queue, so each of them lowers
-// its limit when the queue is long.
+// observeLoad adapts the limit to the load that a server reported with a response; elapsed
+// is the latency of that response. All nodes share the server's queue, so each of them
+// lowers its limit when the queue is long.
 func (l *limit) observeLoad(now time.Time, elapsed time.Duration, load discovery.Load) {
 	l.reportsLoad = true
 	current := l.now(now, load.Slots)
@@ -134,7 +134,7 @@
 	}
 }
 
-// observeLatency adapts the limit to an answer of a server that does not report its load.
+// observeLatency adapts the limit to a response of a server that does not report its load.
 func (l *limit) observeLatency(now time.Time, slots int, slow bool) {
 	current := l.now(now, slots)
 	if slow {
--- a/internal/dispatch/notsent_test.go
+++ b/internal/dispatch/notsent_test.go
@@ -73,7 +73,7 @@
 	request.Fields = append(request.Fields, upstream.Field{Name: "Id", Value: request.ID})
 	answer, trace, err := d.Do(context.Background(), request)
 	if err != nil || answer.Status != http.StatusOK {
-		t.Fatalf("answer %v, %v", answer, err)
+		t.Fatalf("response %v, %v", answer, err)
 	}
 	if trace.NotSent != 1 || trace.Attempts != 1 {
 		t.Errorf("%d attempts not sent and %d sent, want one each", trace.NotSent, trace.Attempts)
@@ -110,6 +110,6 @@
 	}
 	full.recordSuccess(time.Now(), time.Millisecond, time.Second, nil)
 	if full.refusedConnections != 0 || !full.blockedUntil.IsZero() {
-		t.Error("an answer did not end the pause")
+		t.Error("a response did not end the pause")
 	}
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -78,7 +78,7 @@
 
 // acquire returns a server for the request with a slot reserved on it, waiting until the
 // request's deadline. It returns nil if none becomes available by then, if the context
-// ends, or if this node is shutting down and the answer would come too late.
+// ends, or if this node is shutting down and the response would come too late.
 func (d *Dispatcher) acquire(ctx context.Context, request *Request, excluded map[discovery.ServerID]bool) *server {
 	chosen := d.waitForServer(ctx, request, excluded, d.deadline(request))
 	if chosen == nil {
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// The latency of a full server does not tell when it will have room. Clients are told to
-// retry within a third of their time; beyond that they would retry on their own.
+// The latency of a full server does not indicate when it will have room. Clients are asked
+// to retry within a third of their time; beyond that they would retry on their own.
 func TestCallersOfAFullServerComeBackWithinAThird(t *testing.T) {
 	w := newTestNode(t, 1, "divided z 0s")
 	w.setOwner(t, "s0")
--- a/internal/dispatch/reason.go
+++ b/internal/dispatch/reason.go
@@ -25,11 +25,11 @@
 	ReasonServerRefused
 	// ReasonUnreachable: no part of the request reached the last server.
 	ReasonUnreachable
-	// ReasonNodeStops: this node shuts down before an answer can be expected.
+	// ReasonNodeStops: this node shuts down before a response can be expected.
 	ReasonNodeStops
 	// ReasonOwnerWarming: the key's owner is warming up and can take only a few requests.
 	ReasonOwnerWarming
-	// ReasonKeyWarming: the key's owner received it without a handover, and its answers are
+	// ReasonKeyWarming: the key's owner received it without a handover, and its responses are
 	// expected to be late.
 	ReasonKeyWarming
 	// ReasonOwnerLimited: the rate limit that the key's owner announced is used up.
@@ -120,7 +120,7 @@
 
 const millisPerSecond = 1000
 
-// whyNoneOf explains why none of the servers of an undivided service is available. The
+// whyNoneOf explains why none of the servers of an unsharded service is available. The
 // caller holds the mutex.
 func (d *Dispatcher) whyNoneOf(now time.Time, request *Request) string {
 	known, leaving, resting, blocked, limited, warmingUp, busy := 0, 0, 0, 0, 0, 0, 0
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -66,7 +66,7 @@
 	// ArrivedAt is when the request was read.
 	ArrivedAt time.Time
 	// Deadline is when the client stops waiting or, for a request that another node handed
-	// off, when that node needs the answer. CallerDeadline is when the client stops waiting
+	// off, when that node needs the response. CallerDeadline is when the client stops waiting
 	// if the request was handed off, and zero otherwise.
 	Deadline, CallerDeadline time.Time
 	// IncomingHandoff is set if another node handed the request off to this one.
--- a/internal/dispatch/results.go
+++ b/internal/dispatch/results.go
@@ -15,7 +15,7 @@
 const (
 	// noResult: the server did not answer in time, or did not accept the request.
 	noResult serverResult = iota
-	// serverFailed: the server answered with an error of its own or with an invalid answer.
+	// serverFailed: the server answered with an error of its own or with an invalid response.
 	serverFailed
 	// serverAnswered: the server served the request.
 	serverAnswered
@@ -27,7 +27,7 @@
 	elapsed time.Duration
 	cold    bool
 	load    *discovery.Load
-	// abandoned is true if the answer was no longer needed: the client disconnected, or
+	// abandoned is true if the response was no longer needed: the client disconnected, or
 	// another server answered.
 	abandoned bool
 }
@@ -46,7 +46,7 @@
 		d.coldRangesOf(request.Service).observe(sent.elapsed, sent.cold, result == serverAnswered)
 	}
 	if sent.cold && alive {
-		// An answer for a cold range says nothing about the server's usual latency.
+		// A response for a cold range says nothing about the server's usual latency.
 		return
 	}
 	d.observeLatency(request, sent.elapsed, result)
@@ -63,7 +63,7 @@
 	}
 }
 
-// divided reports whether a request's service is key-divided. The caller holds the mutex.
+// divided reports whether a request's service is sharded. The caller holds the mutex.
 func (d *Dispatcher) divided(request *Request) bool {
 	_, divided := d.owners(d.views.Current(), request)
 	return divided
@@ -84,7 +84,7 @@
 	s.recordFailure(time.Now())
 }
 
-// loadIn returns the load that a server reported in an answer, or nil.
+// loadIn returns the load that a server reported in a response, or nil.
 func (d *Dispatcher) loadIn(answer *upstream.Response) *discovery.Load {
 	if d.headers.Load == nil {
 		return nil
@@ -96,7 +96,7 @@
 	return &load
 }
 
-// resultOf derives what an answer shows about its server. A gateway timeout means that the
+// resultOf derives what a response shows about its server. A gateway timeout means that the
 // server was slow, which does not make this node back off as a failure does.
 func resultOf(outcome attemptOutcome, answer *upstream.Response) serverResult {
 	switch {
--- a/internal/dispatch/retryafter.go
+++ b/internal/dispatch/retryafter.go
@@ -55,16 +55,16 @@
 			return left
 		}
 		if s := d.keyServer(request); s != nil {
-			// The server was full. Within the time of one answer it completes as many
-			// requests as it has slots. That is an estimate, so no caller is told to retry
-			// later than it would by itself.
+			// The server was full. Within the time of one response it completes as many
+			// requests as it has slots. That is an estimate, so no client is asked to retry
+			// later than it would on its own.
 			return min(seconds(s.expected()), schedule.MaxRetryDelay(request.callerDeadline().Sub(now)))
 		}
 	}
 	return 0
 }
 
-// backoffLeft is the remaining back-off that the owner of a request's key asked this node
+// backoffLeft is the remaining backoff that the owner of a request's key asked this node
 // for. The caller holds the mutex.
 func (d *Dispatcher) backoffLeft(now time.Time, request *Request) time.Duration {
 	s := d.keyServer(request)
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -13,7 +13,7 @@
 const (
 	firstBackoff = 150 * time.Millisecond
 	maxBackoff   = 2 * time.Second
-	// latencyGain is the weight of one answer in the moving mean of latencies.
+	// latencyGain is the weight of one response in the moving mean of latencies.
 	latencyGain = 0.2
 )
 
@@ -30,7 +30,7 @@
 	// may be preferred; 0 while it may not be preferred.
 	eligibleSlots int
 	// homeName is the server's home node, and assignedSlots the number of slots with which
-	// the server counts there. Both are set only for servers of undivided services in this
+	// the server counts there. Both are set only for servers of unsharded services in this
 	// node's zone.
 	homeName      string
 	assignedSlots int
@@ -40,7 +40,7 @@
 	// limit bounds the concurrent requests from this node to the server.
 	limit limit
 	// rank is this node's rendezvous score for the server; higher is preferred. preferred
-	// is set if the server is in the subset that this node sends to, for an undivided
+	// is set if the server is in the subset that this node sends to, for an unsharded
 	// service.
 	rank      uint64
 	preferred bool
@@ -50,15 +50,15 @@
 	evacuatedSince time.Time
 	// returns spreads the retries of callers that were refused because of this server.
 	returns schedule.RetrySchedule
-	// coldUntil is when the server's warm-up ends according to its answer to a probe.
+	// coldUntil is when the server's warm-up ends according to its response to a probe.
 	// probeAt is when it may be probed next.
 	coldUntil time.Time
 	probeAt   time.Time
 	// isHome is true if this node is the server's home.
 	isHome bool
-	// lastHomeAt is when this node last was the home of a server of a key-divided service.
+	// lastHomeAt is when this node last was the home of a server of a sharded service.
 	lastHomeAt time.Time
-	// latency is the moving mean of the answers' latencies, in seconds.
+	// latency is the moving mean of the responses' latencies, in seconds.
 	latency float64
 	// answeredAt is when the server last answered a request; zero if it never did.
 	answeredAt time.Time
@@ -69,20 +69,20 @@
 	// refusedConnections counts consecutive connections that the server refused.
 	refusedConnections int
 	blockedUntil       time.Time
-	// requestedBackoffUntil is the end of the back-off that the server asked this node for
-	// when it turned a request away. Successful answers do not shorten it.
+	// requestedBackoffUntil is the end of the backoff that the server asked this node for
+	// when it rejected a request. Successful responses do not shorten it.
 	requestedBackoffUntil time.Time
 	// limitedUntil is until when this node sends nothing to the server because the rate
 	// limit that the server announced is used up.
 	limitedUntil time.Time
-	// signals are the backpressure signals in the server's last answer.
+	// signals are the backpressure signals in the server's last response.
 	signals backpressure.Signals
 	// attempts and busy are totals since the last load report.
 	attempts uint32
 	busy     time.Duration
 }
 
-// recordSuccess updates the state after an answer that shows the server to be working.
+// recordSuccess updates the state after a response that shows the server to be working.
 func (s *server) recordSuccess(now time.Time, elapsed, objective time.Duration, load *discovery.Load) {
 	s.adaptLimit(now, elapsed, objective, load)
 	s.failures, s.refusedConnections = 0, 0
@@ -101,8 +101,8 @@
 	s.latency += latencyGain * (elapsed.Seconds() - s.latency)
 }
 
-// recordNoAnswer updates the state after an attempt that was given up without an answer.
-// That is evidence about the server only if its answers usually take less time.
+// recordNoAnswer updates the state after an attempt that was given up without a response.
+// That is evidence about the server only if its responses usually take less time.
 func (s *server) recordNoAnswer(now time.Time, sent sentAttempt) {
 	slow := sent.elapsed.Seconds() > s.expected()
 	if slow {
@@ -187,7 +187,7 @@
 	return now.Before(s.blockedUntil) || now.Before(s.requestedBackoffUntil)
 }
 
-// extendBackoff applies a back-off that the server asked for. It never shortens one.
+// extendBackoff applies a backoff that the server asked for. It never shortens one.
 func (s *server) extendBackoff(now time.Time, requested time.Duration) {
 	if until := now.Add(requested); until.After(s.requestedBackoffUntil) {
 		s.requestedBackoffUntil = until
--- a/internal/dispatch/services.go
+++ b/internal/dispatch/services.go
@@ -20,16 +20,16 @@
 	// all nodes, and homeConnectionShare its share at servers whose home it is; 0 means
 	// unbounded.
 	connectionShare, homeConnectionShare int
-	// divided is true if the service is key-divided: each key is served by one owner.
+	// divided is true if the service is sharded: each key is served by one owner.
 	divided bool
-	// members holds the service's servers. Servers of a key-divided service are added when
+	// members holds the service's servers. Servers of a sharded service are added when
 	// the first request for one of their keys arrives, because a node sends to few of them.
 	members map[discovery.ServerID]*server
 	// sameZone and otherZones hold the eligible servers of this node's zone and of the
 	// other zones.
 	sameZone, otherZones rankedServers
 	// preferred is the subset of servers that this node sends to if the service is
-	// undivided.
+	// unsharded.
 	preferred []*server
 	// cold holds the servers that may be warming up.
 	cold           map[discovery.ServerID]*server
@@ -99,7 +99,7 @@
 	}
 }
 
-// applyPartitioning rebuilds the indexes of a service that became key-divided or undivided.
+// applyPartitioning rebuilds the indexes of a service that became sharded or unsharded.
 // The caller holds the mutex.
 func (d *Dispatcher) applyPartitioning(now time.Time, current *view.View, svc *service) {
 	if !svc.divided {
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -7,14 +7,14 @@
 )
 
 // answerMargin is how long before the node's end a server is asked to answer. It leaves
-// time to pass the answer on, which may be that the time was too short. It is far above a
+// time to relay the response, which may be that the time was too short. It is far above a
 // round trip to a server, and above the pauses of a node that is throttled for a tenth of a
 // second because its CPU quota is used up.
 const answerMargin = 120 * time.Millisecond
 
 // ShutDownBy makes Do return for every request by the given time because the node shuts down;
-// answers that are already being streamed may take longer. From now on, requests that no
-// server is expected to answer by then are refused at once, and servers are told the
+// responses that are already being streamed may take longer. From now on, requests that no
+// server is expected to answer by then are refused at once, and servers are sent the
 // shortened remaining time.
 func (d *Dispatcher) ShutDownBy(at time.Time) {
 	d.ending.Set(at)
@@ -43,7 +43,7 @@
 	return deadline
 }
 
-// tooLate reports whether a server's answer is expected only after a deadline that the
+// tooLate reports whether a server's response is expected only after a deadline that the
 // shutdown of the node sets. The caller holds the mutex.
 func (d *Dispatcher) tooLate(now time.Time, request *Request, s *server, deadline time.Time) bool {
 	if !deadline.Before(request.deadline()) {
--- a/internal/dispatch/shutdown_answer_test.go
+++ b/internal/dispatch/shutdown_answer_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A long answer that has begun is streamed beyond the time by which other requests end.
+// A long response that has begun is streamed beyond the time by which other requests end.
 func TestLongAnswerGoesOnBeyondTheEnd(t *testing.T) {
 	const length, begin = 600 << 10, 300 << 10
 	const end, rest = 100 * time.Millisecond, 400 * time.Millisecond
@@ -25,7 +25,7 @@
 	request.ID = ""
 	answer, _, err := d.Do(context.Background(), request)
 	if err != nil || answer.Rest == nil {
-		t.Fatalf("answer %v, error %v, want the beginning of a long answer", answer, err)
+		t.Fatalf("response %v, error %v, want the beginning of a long response", answer, err)
 	}
 	defer answer.Rest.Close()
 	d.ShutDownBy(time.Now().Add(end))
--- a/internal/dispatch/shutdown_queue_test.go
+++ b/internal/dispatch/shutdown_queue_test.go
@@ -22,7 +22,7 @@
 }
 
 // A request that was queued before the shutdown began, and gets a server afterwards, has no
-// more time than a later one. Its server is told the shortened deadline.
+// more time than a later one. Its server is sent the shortened deadline.
 func TestServersOfQueuedRequestsAreToldWhenTheNodeEnds(t *testing.T) {
 	serve, told := deadlineRecorder()
 	d, _ := newSingleServerDispatcher(t, serve)
@@ -42,7 +42,8 @@
 	}
 }
 
-// A queued request is refused without reaching a server if its answer would come too late.
+// A queued request is refused without reaching a server if its response would come too
+// late.
 func TestHopelessQueuedRequestOfAStoppingNodeReachesNoServer(t *testing.T) {
 	d, arrived := newSingleServerDispatcher(t, blockUntilCanceled)
 	d.server("a").outstanding, d.server("a").latency = 100, 40
@@ -63,7 +64,7 @@
 	}
 }
 
-// A slot that is released because the answer would come too late goes to the next request
+// A slot that is released because the response would come too late goes to the next request
 // at once.
 func TestPlaceOfAHopelessRequestGoesToTheNext(t *testing.T) {
 	d, arrived := newSingleServerDispatcher(t, func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/dispatch/shutdown_test.go
+++ b/internal/dispatch/shutdown_test.go
@@ -108,7 +108,7 @@
 	}, &told
 }
 
-// Servers must know the remaining time to answer before the node's end.
+// Servers must be sent the remaining time to answer before the node's end.
 func TestServersAreToldWhenTheNodeEnds(t *testing.T) {
 	serve, told := deadlineRecorder()
 	d, _ := newSingleServerDispatcher(t, serve)
--- a/internal/dispatch/signals.go
+++ b/internal/dispatch/signals.go
@@ -11,7 +11,7 @@
 	"github.com/micahaven/micahaven/internal/upstream"
 )
 
-// Signal is a backpressure signal, received in an answer of a server, that concerns all
+// Signal is a backpressure signal, received in a response of a server, that concerns all
 // nodes.
 type Signal struct {
 	// Limit is the rate limit that the server announced, or that it announces none any
@@ -29,16 +29,16 @@
 // first request.
 func (d *Dispatcher) SetSignalFunc(onSignal SignalFunc) { d.onSignal = onSignal }
 
-// observeSignals applies the signals in an answer to a request that this node sent.
+// observeSignals applies the signals in a response to a request that this node sent.
 func (d *Dispatcher) observeSignals(s *server, answer *upstream.Response) {
 	if signals, fromServer := d.signalsOf(answer); fromServer {
 		d.takeSignals(s, signals)
 	}
 }
 
-// observeHandoffSignals applies the signals in an answer that came through the server's
+// observeHandoffSignals applies the signals in a response that came through the server's
 // home, because this node may later send requests to the server itself. A requested
-// back-off is ignored, as it was meant for the home only.
+// backoff is ignored, as it was meant for the home only.
 func (d *Dispatcher) observeHandoffSignals(trace Trace, answer *upstream.Response) {
 	if answer == nil {
 		return
@@ -75,8 +75,8 @@
 	}
 }
 
-// signalsOf returns the signals in an answer; false if they are not from the server that
-// was asked. Another server may have its address by now, and an unsigned answer without
+// signalsOf returns the signals in a response; false if they are not from the server that
+// was asked. Another server may have its address by now, and an unsigned response without
 // signals may be damaged.
 func (d *Dispatcher) signalsOf(answer *upstream.Response) (backpressure.Signals, bool) {
 	if d.headers.Signals == nil || answer.Status == statusMisdirected {
@@ -99,7 +99,7 @@
 	}
 }
 
-// logSignals logs each signal that was not in the server's previous answer.
+// logSignals logs each signal that was not in the server's previous response.
 func (d *Dispatcher) logSignals(s *server, previous, now backpressure.Signals) {
 	id := zap.String("server", string(s.id))
 	switch {
@@ -112,6 +112,6 @@
 		d.logger.Info("server announced that it is leaving", id)
 	}
 	if now.Rest > 0 && previous.Rest == 0 {
-		d.logger.Info("server requested back-off", id, zap.Duration("for", now.Rest))
+		d.logger.Info("server requested backoff", id, zap.Duration("for", now.Rest))
 	}
 }
--- a/internal/dispatch/signals_test.go
+++ b/internal/dispatch/signals_test.go
@@ -13,7 +13,7 @@
 )
 
 // newSignalHeaders returns headers that parse the signals of servers that are leaving or ask
-// for a back-off of one minute.
+// for a backoff of one minute.
 func newSignalHeaders() Headers {
 	return Headers{Signature: "Signed", Signals: func(_ int, answer http.Header) backpressure.Signals {
 		signals := backpressure.Signals{Leaving: answer.Get("Leaving") != ""}
@@ -24,8 +24,8 @@
 	}}
 }
 
-// A node that hands requests off to a server's home also sees the server's answers, and
-// sends large requests to the server itself. It applies the signals in those answers
+// A node that hands requests off to a server's home also sees the server's responses, and
+// sends large requests to the server itself. It applies the signals in those responses
 // without a notification from the home.
 func TestAnswersOfHomesTellWhatServersAsk(t *testing.T) {
 	w, handover := newTestNodeWithHomes(t, nil, warmDivided)
@@ -63,8 +63,8 @@
 	}
 }
 
-// A successful answer that was in flight ends the back-off after failures, but not the
-// back-off that the server asked for. A shorter back-off requested later does not end it
+// A successful response that was in flight ends the backoff after failures, but not the
+// backoff that the server asked for. A shorter backoff requested later does not end it
 // either.
 func TestNothingButTimeEndsARest(t *testing.T) {
 	w := newTestNode(t, 0, warmPlain)
@@ -75,14 +75,14 @@
 	s.extendBackoff(now, time.Second)
 	s.recordSuccess(now, time.Millisecond, time.Second, nil)
 	if s.usable(now.Add(asked-time.Millisecond), 0) || w.chooseID(now, "plain") != "" {
-		t.Error("the server is used during its back-off")
+		t.Error("the server is used during its backoff")
 	}
 	if !s.usable(now.Add(asked), 0) || w.chooseID(now.Add(asked), "plain") != "s0" {
-		t.Error("the server isn't used after its back-off")
+		t.Error("the server isn't used after its backoff")
 	}
 }
 
-// Requests for keys whose owner asked for a back-off are refused at once, and clients are
+// Requests for keys whose owner asked for a backoff are refused at once, and clients are
 // told when it ends.
 func TestCallersOfARestingOwnerAreRefusedAtOnce(t *testing.T) {
 	w := newTestNode(t, 0, warmDivided)
@@ -93,17 +93,17 @@
 	_, _, err := w.Do(t.Context(), requestFor("divided", true))
 	var refusal *Refusal
 	if !errors.As(err, &refusal) || refusal.Reason != ReasonOwnerResting {
-		t.Fatalf("error %v, want a refusal because of the back-off of the owner", err)
+		t.Fatalf("error %v, want a refusal because of the backoff of the owner", err)
 	}
 	if took := time.Since(began); took > 100*time.Millisecond {
 		t.Errorf("refused after %v", took)
 	}
 	if refusal.RetryAfter < asked-time.Second {
-		t.Errorf("retry after %v, although the owner asked for a back-off of %v", refusal.RetryAfter, asked)
+		t.Errorf("retry after %v, although the owner asked for a backoff of %v", refusal.RetryAfter, asked)
 	}
 }
 
-// A requested back-off applies only to the node whose request was turned away.
+// A requested backoff applies only to the node whose request was rejected.
 func TestRestThatAHomeWasAskedForIsNotThisNodes(t *testing.T) {
 	w, handover := newTestNodeWithHomes(t, nil, warmDivided)
 	w.headers = newSignalHeaders()
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	if !w.server("s0").requestedBackoffUntil.IsZero() {
-		t.Error("the node applies a back-off that the home was asked for")
+		t.Error("the node applies a backoff that the home was asked for")
 	}
 }
 
@@ -127,6 +127,6 @@
 	}
 	s.extendBackoff(now, time.Second)
 	if w.probeIsDue(now, w.views.Current(), s) {
-		t.Error("the server is probed during its back-off")
+		t.Error("the server is probed during its backoff")
 	}
 }
--- a/internal/dispatch/subset.go
+++ b/internal/dispatch/subset.go
@@ -18,9 +18,9 @@
 	leastSubset = 3
 )
 
-// selectPreferred selects the subset of an undivided service's servers that this node sends
+// selectPreferred selects the subset of an unsharded service's servers that this node sends
 // to: some in its own zone, and some in other zones for when those are busy. Each node has
-// a different subset. A server therefore gets requests from few nodes, which know its load,
+// a different subset. A server therefore gets requests from few nodes, which track its load,
 // keep their connections to it in use and cannot overload it together. The caller holds the
 // mutex.
 func (d *Dispatcher) selectPreferred(svc *service) {
@@ -48,7 +48,7 @@
 	return max(leastSubset, int(math.Ceil(share)))
 }
 
-// candidates returns the servers of an undivided service that this node may send to now:
+// candidates returns the servers of an unsharded service that this node may send to now:
 // its preferred servers, those whose home it is and those that are warming up, or all
 // servers if none of these is available. The caller holds the mutex.
 func (d *Dispatcher) candidates(now time.Time, current *view.View, name string) []*server {
--- a/internal/dispatch/wait.go
+++ b/internal/dispatch/wait.go
@@ -55,7 +55,7 @@
 }
 
 // ownerBlockedFor returns for how long this node will certainly send nothing to the owner
-// of a request's key: its concurrency limit requires a pause, it asked for a back-off, or
+// of a request's key: its concurrency limit requires a pause, it asked for a backoff, or
 // its announced limit is used up. The caller holds the mutex.
 func (d *Dispatcher) ownerBlockedFor(now time.Time, request *Request) time.Duration {
 	s := d.keyServer(request)
@@ -66,7 +66,7 @@
 }
 
 // keyServer returns the server that owns a request's key; nil if there is none or the
-// service is undivided. The caller holds the mutex.
+// service is unsharded. The caller holds the mutex.
 func (d *Dispatcher) keyServer(request *Request) *server {
 	owners, divided := d.owners(d.views.Current(), request)
 	if !divided {
@@ -111,7 +111,7 @@
 }
 
 // capacity returns how many concurrent requests this node may have at the servers that may
-// serve a request, and the mean latency of those servers. For an undivided service, the
+// serve a request, and the mean latency of those servers. For an unsharded service, the
 // servers in excluded do not count: if no others are left, waiting is pointless. The caller
 // holds the mutex.
 func (d *Dispatcher) capacity(now time.Time, request *Request, excluded map[discovery.ServerID]bool) (capacity float64, work time.Duration) {
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -25,8 +25,8 @@
 	return d.boundedWarmUp(current, s.Server)
 }
 
-// warmAt is when a server's warm-up ends, according to its registration and its answers to
-// probes, whichever is later. The caller holds the mutex.
+// warmAt is when a server's warm-up ends, according to its registration and its responses
+// to probes, whichever is later. The caller holds the mutex.
 func (s *server) warmAt(current *view.View) time.Time {
 	if warmAt := current.WarmUntil(s.Server); warmAt.After(s.coldUntil) {
 		return warmAt
@@ -50,7 +50,7 @@
 
 // maySend reports whether this node may send a request to a server now. It always may if
 // the server is warm or its warm-up rate is unbounded, and otherwise only with a send
-// right. The caller holds the mutex.
+// permit. The caller holds the mutex.
 func (d *Dispatcher) maySend(now time.Time, current *view.View, s *server) (may, bounded bool) {
 	server, bounded := d.warming(now, current, s)
 	if !bounded {
@@ -72,7 +72,7 @@
 
 // ownerWarmingUp reports whether a request's key is owned by a warming server that this
 // node may not send to now, and for how long that server is still warming up. Waiting is
-// pointless then, because the nodes with send rights use up its rate. The caller holds the
+// pointless then, because the nodes with send permits use up its rate. The caller holds the
 // mutex.
 func (d *Dispatcher) ownerWarmingUp(now time.Time, request *Request) (left time.Duration, warmingUp bool) {
 	current := d.views.Current()
--- a/internal/dispatch/warming_test.go
+++ b/internal/dispatch/warming_test.go
@@ -17,7 +17,7 @@
 )
 
 // warmUpDocuments decodes server entries such as "service zone 3s", and a table with an
-// undivided and a key-divided service whose servers get 6.7 requests per second while they
+// unsharded and a sharded service whose servers get 6.7 requests per second while they
 // warm up.
 type warmUpDocuments struct{}
 
@@ -141,7 +141,7 @@
 	for w.chooseID(now, "plain") != "" {
 		senders++
 	}
-	// 2 of the 20 nodes have send rights for each server.
+	// 2 of the 20 nodes have send permits for each server.
 	if senders > 10 {
 		t.Errorf("this node may send to %d of %d cold servers, want about 3", senders, servers)
 	}
@@ -205,8 +205,8 @@
 	}
 }
 
-// A node that finds an evacuation in its first copy of the store does not know when it
-// began.
+// A node that finds an evacuation in its first copy of the store has no record of when
+// it began.
 func TestEvacuationThatWasThereBeforeTheNodeHasNoGrace(t *testing.T) {
 	layout := view.Layout{TableKey: "table", ServerPrefix: "servers/", EvacuationPrefix: "evacuated/"}
 	builder := view.NewBuilder(layout, warmUpDocuments{}, zap.NewNop())
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -177,7 +177,7 @@
 	followers    map[string]*follower
 }
 
-// New returns the feed of a node that knows no other nodes.
+// New returns the feed of a node that has not discovered any other node.
 func New(self Member) *Feed {
 	return &Feed{self: self, head: true, root: true, followers: make(map[string]*follower), backoffUntil: make(map[string]time.Duration)}
 }
@@ -280,8 +280,8 @@
 }
 
 // LapsedUntil returns until when entries that are now found missing may be written again, because
-// the store was unavailable until recently. It returns false if, as far as this node knows, there
-// was no outage.
+// the store was unavailable until recently. It returns false if this node has no record of an
+// outage.
 func (f *Feed) LapsedUntil(now time.Duration) (time.Duration, bool) {
 	switch {
 	case !f.confirmed:
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -461,9 +461,9 @@
 	}
 }
 
-// The store refused the root for 9 s. The next head watched the store, told the root its revision
-// and then accepted the root's report of that revision as a new confirmation; after a second no
-// node asked the store any more (scenario tintamezcla-gw-large trouble-1).
+// The store refused the root for 9 s. The next head watched the store, reported its revision to the
+// root and then accepted the root's report of that revision as a new confirmation; after a second
+// no node queried the store (scenario tintamezcla-gw-large trouble-1).
 func TestRootThatTheStoreTurnsAwayIsNotReliedOn(t *testing.T) {
 	c := newCluster(t, 300, 5)
 	c.start()
--- a/internal/feed/members.go
+++ b/internal/feed/members.go
@@ -27,7 +27,7 @@
 }
 
 // Rank sorts members by their preference for duties: greater processor shares first, then by name.
-// All nodes that know the same members compute the same order.
+// All nodes with the same list of members compute the same order.
 func Rank(members []Member) []Member {
 	ranked := append([]Member(nil), members...)
 	sort.Slice(ranked, func(i, j int) bool {
--- a/internal/handoff/home.go
+++ b/internal/handoff/home.go
@@ -379,7 +379,7 @@
 // finish sends the last chunk, which is marked as broken if the body before it is
 // incomplete.
 func (w *chunkWriter) finish(cause error) {
-	// If the last chunk cannot be sent, the end of the stream tells the reader that the body
-	// is incomplete.
+	// If the last chunk cannot be sent, the end of the stream indicates to the reader that the
+	// body is incomplete.
 	_ = w.send(&wire.HandoffChunk{Last: true, Broken: cause != nil})
 }
--- a/internal/handoff/sender.go
+++ b/internal/handoff/sender.go
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// lostError returns the error for a request whose home node stopped answering; it tells
+// lostError returns the error for a request whose home node stopped answering; it states
 // whether the request may have run.
 func (h *attempt) lostError(ctx context.Context, cause error) error {
 	if ctx.Err() == nil {
--- a/internal/handoff/sender_test.go
+++ b/internal/handoff/sender_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// After the go-ahead only the home node knows whether the request has run.
+// After the go-ahead the sender cannot determine whether the request has run.
 func TestAfterTheGoTheOutcomeIsUnknown(t *testing.T) {
 	dying := newScriptedHome(t, "dying", func(server *transport.Server, stream *transport.Stream) {
 		stream.Send(stepEnvelope(wire.HandoffStep_STEP_READY, ""))
--- a/internal/homes/homes_test.go
+++ b/internal/homes/homes_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// All nodes compute the same ranking whatever order they know the nodes in, and the cached
+// All nodes compute the same ranking whatever order they list the nodes in, and the cached
 // ranking is the same as the first.
 func TestRanksDoNotDependOnOrder(t *testing.T) {
 	nodes := zone(6)
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -152,7 +152,7 @@
 
 // StopReading refuses further reads on a connection, unless part of the next request has
 // already been read. It reports whether reads are now refused. Data that the client sends
-// afterwards stays unread, which tells the client that those requests were not executed.
+// afterwards stays unread, which indicates to the client that those requests were not executed.
 func (l *ConnectionTracker) StopReading(connection net.Conn) bool {
 	tracked, ok := connection.(*trackedConnection)
 	if !ok {
@@ -174,7 +174,7 @@
 	if !c.markForClose(expired) {
 		return false
 	}
-	// A close error has no consequence: the connection is not used any more.
+	// A close error has no consequence: the connection is no longer used.
 	_ = c.Conn.Close()
 	return true
 }
--- a/internal/ingress/handler.go
+++ b/internal/ingress/handler.go
@@ -41,8 +41,8 @@
 	NotExecuted string
 	// Key is the request's sharding key.
 	Key string
-	// Credential carries the API key that identifies the tenant. Tenant tells the server the
-	// tenant's name.
+	// Credential carries the API key that identifies the tenant. Tenant carries the tenant's name
+	// to the server.
 	Credential, Tenant string
 	// Load parses the load that a server reports in a response, if any.
 	Load func(response http.Header) (discovery.Load, bool)
--- a/internal/ingress/initial_table.go
+++ b/internal/ingress/initial_table.go
@@ -37,7 +37,7 @@
 
 func newInitialTable(views *view.Builder) *initialTable {
 	t := &initialTable{views: views, ready: make(chan struct{})}
-	// The dispatcher subscribed earlier, so it knows the servers by the time this callback
+	// The dispatcher subscribed earlier, so it has the servers by the time this callback
 	// runs.
 	views.Subscribe(t.onViewChange)
 	return t
--- a/internal/ingress/pipeline/connection.go
+++ b/internal/ingress/pipeline/connection.go
@@ -128,8 +128,8 @@
 
 // markBodyRead records that a handler has read the request body to its end. The reader waits
 // for this, so that only one goroutine reads from the connection. It must be recorded before
-// the handler can respond: a response that closes the connection must know that no data of a
-// further request was read.
+// the handler can respond: when a response closes the connection, it must be certain that no data
+// of a further request was read.
 func (c *connection) markBodyRead(e *exchange) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/ingress/pipeline/server_test.go
+++ b/internal/ingress/pipeline/server_test.go
@@ -382,7 +382,7 @@
 }
 
 // A request that has been partly read when a response asks to close the connection must be
-// answered, because its client could not know that it was never executed.
+// answered, because its client could not determine that it was never executed.
 func TestAnswerThatClosesWaitsForARequestThatIsBeingRead(t *testing.T) {
 	s := startServer(t, newBudget())
 	unblock := s.blockPath("/safe/close")
--- a/internal/ingress/pipeline/write.go
+++ b/internal/ingress/pipeline/write.go
@@ -77,7 +77,7 @@
 	case !aborted && (!sockets.IsIdle(c.socket) || !c.fullyAcknowledged()):
 		c.linger()
 	}
-	// The connection is not used any more, so an error has no consequence.
+	// The connection is no longer used, so an error has no consequence.
 	_ = c.socket.Close()
 }
 
--- a/internal/ingress/response_test.go
+++ b/internal/ingress/response_test.go
@@ -8,7 +8,7 @@
 	"github.com/micahaven/micahaven/internal/upstream"
 )
 
-// Guards against a HEAD response with Content-Length: 0, which tells the client that the
+// Guards against a HEAD response with Content-Length: 0, which indicates to the client that the
 // resource is empty.
 func TestContentLengthOfAnAnswer(t *testing.T) {
 	cases := map[string]struct {
--- a/internal/ingress/tenancy.go
+++ b/internal/ingress/tenancy.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// appendTenantHeader adds the header that tells servers the tenant's name.
+// appendTenantHeader adds the header that carries the tenant's name to servers.
 func (h *Handler) appendTenantHeader(fields []upstream.Field, tenant *tenants.Tenant) []upstream.Field {
 	if tenant == nil {
 		return fields
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -48,7 +48,7 @@
 	// Lives are the IDs of the servers that crashed while running the request, at most
 	// maxRecordedCrashes.
 	Lives []string
-	// Age is the time since the last of these crashes, or since the answer if Cleared.
+	// Age is the time since the last of these crashes, or since the response if Cleared.
 	Age time.Duration
 	// Cleared is true if a server has answered the request since the crashes.
 	Cleared bool
@@ -78,7 +78,7 @@
 type entry struct {
 	// crashes holds the IDs of the servers that crashed while running the request.
 	crashes []string
-	// eventAt is the time of the last crash, or of the answer if cleared is set.
+	// eventAt is the time of the last crash, or of the response if cleared is set.
 	eventAt time.Time
 	cleared bool
 }
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -61,13 +61,13 @@
 	table, innocent := NewTable(), digest(1)
 	crash(table, start, 0, innocent)
 	if _, broadcast := table.RecordAnswer(start, innocent); broadcast {
-		t.Error("an answer is broadcast although the other nodes do not suspect the request")
+		t.Error("a response is broadcast although the other nodes do not suspect the request")
 	}
 	crash(table, start, 1, innocent)
 	crash(table, start, 2, innocent)
 	cleared, broadcast := table.RecordAnswer(start.Add(time.Second), innocent)
 	if !broadcast || !cleared.Cleared {
-		t.Error("the answer to a suspect is not broadcast as cleared")
+		t.Error("the response to a suspect is not broadcast as cleared")
 	}
 	if verdictAt(table, start.Add(time.Second), innocent) != Send {
 		t.Error("the request is still suspected")
@@ -78,10 +78,10 @@
 	if !other.Merge(start.Add(time.Second), cleared) || verdictAt(other, start.Add(time.Second), innocent) != Send {
 		t.Error("another node still suspects the request")
 	}
-	// Evidence older than the answer must be ignored.
+	// Evidence older than the response must be ignored.
 	old := Suspect{Digest: innocent, Lives: []string{"a", "b", "c"}, Age: 2 * time.Second}
 	if other.Merge(start.Add(time.Second), old) {
-		t.Error("evidence older than the answer is merged")
+		t.Error("evidence older than the response is merged")
 	}
 }
 
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -29,7 +29,7 @@
 const (
 	// prefetchFraction is the fraction of the tolerance that nodes together may prefetch. The
 	// same amount again is reserved for prefetched tokens that are outstanding when a home node
-	// is lost, since the node that replaces it does not know of them.
+	// is lost, since the node that replaces it has no record of them.
 	prefetchFraction = 0.25
 	// burstFraction is the fraction of the tolerance that is added to the burst, because the
 	// requests of a small tenant arrive several at a time even if it stays below its rate.
@@ -51,7 +51,7 @@
 	// busy client's requests at one node, and short because tokens that a node holds unused are
 	// not available to the others.
 	prefetchTTL = 2 * time.Second
-	// MaxRetryAfter bounds the delay after which a refused client is told to retry. The demand
+	// MaxRetryAfter bounds the delay after which a refused client is asked to retry. The demand
 	// of the other clients cannot be predicted any further ahead.
 	MaxRetryAfter = 2 * time.Second
 )
@@ -61,17 +61,17 @@
 	// Used is how many requests the node admitted since the last report that the home node
 	// processed. It is negative if more requests were given back because they did not run.
 	Used int
-	// Waiting is how many requests wait for the answer to this report.
+	// Waiting is how many requests wait for the response to this report.
 	Waiting int
 	// Wish is how many tokens the node would like to prefetch.
 	Wish int
 }
 
-// Grant is the home node's answer to a report.
+// Grant is the home node's response to a report.
 type Grant struct {
 	// Granted is how many of the waiting requests are admitted.
 	Granted int
-	// Ahead is how many tokens the node prefetches with this answer. They are valid for
+	// Ahead is how many tokens the node prefetches with this response. They are valid for
 	// prefetchTTL, and requests admitted with them are included in the next report.
 	Ahead int
 	// Calm is true if the demand does not exceed the limit.
@@ -94,7 +94,7 @@
 	// maxPrefetched, so the map stays small however many nodes there are.
 	prefetched      map[string]prefetchGrant
 	prefetchedTotal int
-	// nextRetryAt is the time at which the next refused client is told to retry.
+	// nextRetryAt is the time at which the next refused client is asked to retry.
 	nextRetryAt time.Duration
 }
 
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -11,15 +11,15 @@
 	"github.com/micahaven/micahaven/internal/tenants"
 )
 
-// simulation runs several nodes that share a tenant's limit, in simulated time. Answers to
-// reports are delayed and may be lost, and the home node may be replaced by one without any
-// state.
+// simulation runs several nodes that share a tenant's limit, in simulated time. Responses
+// to reports are delayed and may be lost, and the home node may be replaced by one without
+// any state.
 type simulation struct {
 	limit       tenants.Limit
 	tolerance   Tolerance
 	account     *Account
 	localQuotas []*LocalQuota
-	// answers are the answers in flight to nodes.
+	// answers are the responses in flight to nodes.
 	answers []pendingAnswer
 	waiting []bool
 	// admitted are the times at which requests were admitted.
@@ -44,7 +44,8 @@
 }
 
 // request simulates one request at a node. It is admitted with a prefetched token, or sends a
-// report and waits for the answer. It is refused if another request of the node waits already.
+// report and waits for the response. It is refused if another request of the node waits
+// already.
 func (s *simulation) request(now time.Duration, node int, delay time.Duration, lost bool) {
 	quota := s.localQuotas[node]
 	if quota.TakePrefetched(now) {
@@ -61,7 +62,7 @@
 	s.answers = append(s.answers, pendingAnswer{node: node, arrivesAt: now + delay, sentAt: now, report: report, grant: grant, lost: lost})
 }
 
-// deliverAnswers delivers the answers that are due.
+// deliverAnswers delivers the responses that are due.
 func (s *simulation) deliverAnswers(now time.Duration) {
 	remaining := s.answers[:0]
 	for _, answer := range s.answers {
@@ -101,8 +102,8 @@
 	return whole*(1+s.tolerance.Over) + s.tolerance.Slack
 }
 
-// No window exceeds the limit plus its tolerance, whatever the demand and the delay of answers,
-// and also if answers are lost or the home node is replaced.
+// No window exceeds the limit plus its tolerance, whatever the demand and the delay of
+// responses, and also if responses are lost or the home node is replaced.
 func TestNoWindowExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := tenants.Limit{Rate: rapid.Float64Range(1, 300).Draw(t, "rate"), Burst: rapid.Float64Range(0, 300).Draw(t, "burst")}
--- a/internal/quota/homeclient.go
+++ b/internal/quota/homeclient.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 )
 
-// waiter is a request that waits for the home node's answer.
+// waiter is a request that waits for the home node's response.
 type waiter struct {
 	name       string
 	enqueuedAt time.Duration
@@ -106,8 +106,8 @@
 	return max(next, c.unreachableUntil) - now, true
 }
 
-// collectReports returns the reports to send, the requests that wait for their answers by name
-// of the limit, and the current time.
+// collectReports returns the reports to send, the requests that wait for their responses by
+// name of the limit, and the current time.
 func (c *homeClient) collectReports() ([]NamedReport, map[string][]*waiter, time.Duration) {
 	c.limiter.mutex.Lock()
 	defer c.limiter.mutex.Unlock()
@@ -140,15 +140,15 @@
 	return reports, waiters, now
 }
 
-// handleAnswers applies the home node's answers and decides on the requests that waited for
-// them.
+// handleAnswers applies the home node's responses and decides on the requests that waited
+// for them.
 func (c *homeClient) handleAnswers(reports []NamedReport, waiters map[string][]*waiter, sentAt time.Duration, answers []Answer, err error) {
 	l := c.limiter
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
 	if err == nil && len(answers) != len(reports) {
-		err = errors.Newf("home node sent %d answers to %d reports", len(answers), len(reports))
+		err = errors.Newf("home node sent %d responses to %d reports", len(answers), len(reports))
 	}
 	if err != nil {
 		c.markUnreachable(now, err)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -20,7 +20,7 @@
 	ReportInterval = 100 * time.Millisecond
 	// reportTimeout is how long a home node may take to answer a report. It is longer than the
 	// pauses of a node that has used up its CPU share for a tenth of a second, and short
-	// because requests wait for the answer.
+	// because requests wait for the response.
 	reportTimeout = 200 * time.Millisecond
 	// unreachableRetryDelay is how long no reports are sent to a home node that did not answer.
 	unreachableRetryDelay = 500 * time.Millisecond
@@ -34,22 +34,22 @@
 	Name string
 	Report
 	// Observed is this node's latest observation of the limit; nil for a configured limit,
-	// which every node knows.
+	// which every node reads from the configuration.
 	Observed *Observation
 }
 
-// Answer is the home node's answer to a report on one named limit.
+// Answer is the home node's response to a report on one named limit.
 type Answer struct {
 	Grant
 	// NotHome is true if the node that was asked is not the home node of the limit.
 	NotHome bool
-	// Observed is the latest observation that the home node knows; nil for a configured limit.
+	// Observed is the home node's latest observation; nil for a configured limit.
 	Observed *Observation
 }
 
 // Transport sends reports to other nodes.
 type Transport interface {
-	// Report returns one answer per report. An error means that the home node may not have
+	// Report returns one response per report. An error means that the home node may not have
 	// processed the reports.
 	Report(ctx context.Context, address string, uses []NamedReport) ([]Answer, error)
 }
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// A node that cannot reach the home node decides by itself, does not call it again before the
+// A node that cannot reach the home node decides locally, does not call it again before the
 // retry delay has passed, and is served again once the connection is back.
 func TestHomeThatIsNotReached(t *testing.T) {
 	n, directory := newNetwork(t, "n1", "n2")
@@ -160,7 +160,7 @@
 	other := map[string]string{"n1": "n2", "n2": "n1"}[home]
 	answers := n.nodes[other].Answer("n3", []NamedReport{{Name: "a", Report: Report{Waiting: 1}}})
 	if !answers[0].NotHome || answers[0].Granted != 0 {
-		t.Errorf("answer of a node that is not the home node: %+v", answers[0])
+		t.Errorf("response of a node that is not the home node: %+v", answers[0])
 	}
 }
 
--- a/internal/quota/localquota.go
+++ b/internal/quota/localquota.go
@@ -37,7 +37,7 @@
 	// given back.
 	unreported int
 	// belowLimit is whether the demand was below the limit according to the home node's last
-	// answer.
+	// response.
 	belowLimit bool
 	// meanRate is the mean rate at which this node admits requests, in requests per second, as
 	// of meanRateAt.
@@ -49,7 +49,8 @@
 	fallbackRefilledAt time.Duration
 }
 
-// NewLocalQuota returns the state of a node that has not yet heard from the home node.
+// NewLocalQuota returns the state of a node that has not yet received a response from the home
+// node.
 func NewLocalQuota(now time.Duration, limit tenants.Limit) *LocalQuota {
 	return &LocalQuota{limit: limit, meanRateAt: now, fallbackRefilledAt: now}
 }
@@ -116,7 +117,7 @@
 	return Report{Used: q.unreported, Waiting: waiting, Wish: prefetch}
 }
 
-// ApplyGrant applies the answer to a report that was sent at sentAt.
+// ApplyGrant applies the response to a report that was sent at sentAt.
 func (q *LocalQuota) ApplyGrant(sentAt, now time.Duration, report Report, grant Grant) {
 	q.unreported -= report.Used
 	q.belowLimit = grant.Calm
--- a/internal/quota/observed.go
+++ b/internal/quota/observed.go
@@ -10,8 +10,8 @@
 // A limit may be observed instead of configured: the server that it protects announces it in
 // its responses to any node at any time, and may withdraw it. Nodes converge on the newest
 // observation by its age: each report to the home node carries the newest observation of the
-// reporting node, each answer the newest one of the home node, and both sides keep the newer
-// one.
+// reporting node, each response the newest one of the home node, and both sides keep the
+// newer one.
 
 // observationTTL is how long an observation holds without being confirmed. A server that
 // receives no requests for that long may have changed its limit, and announces the new one in
@@ -20,7 +20,7 @@
 
 // minObservedRate is the lowest rate of an observed limit, in requests per second. A server
 // that announces a limit of zero still gets an occasional request, because only a response can
-// tell that it accepts more again.
+// show that it accepts more again.
 const minObservedRate = 0.1
 
 // Observation is an observed limit, as it is sent between nodes.
--- a/internal/quota/observed_test.go
+++ b/internal/quota/observed_test.go
@@ -17,7 +17,7 @@
 var serverTolerance = Tolerance{Window: 4 * time.Second, Over: 0.5, Slack: 5}
 
 // Limits announced by servers have no burst and are small. No window may exceed what the server
-// can absorb, however many nodes send requests, and also if answers are lost or the home node
+// can absorb, however many nodes send requests, and also if responses are lost or the home node
 // is replaced.
 func TestNoWindowExceedsAnObservedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -132,7 +132,7 @@
 }
 
 // A server that announces a limit of zero still gets an occasional request, because only its
-// response can tell that it accepts more again.
+// response can show that it accepts more again.
 func TestServerThatTakesNothingIsAskedNowAndThen(t *testing.T) {
 	n, _ := newNetwork(t, "n1")
 	n.nodes["n1"].Observe("s", Observation{Limited: true})
--- a/internal/router/copies.go
+++ b/internal/router/copies.go
@@ -209,9 +209,9 @@
 	readsPerSecond float64
 }
 
-// Copy implements mirror.Copies. A node that knows the heads asks a few of them. A starting node
-// reads the last record of the heads from the store and asks them until a timeout: if the whole
-// system starts, only the heads list the store.
+// Copy implements mirror.Copies. A node that has discovered the heads queries a few of them. A
+// starting node reads the last record of the heads from the store and asks them until a timeout: if
+// the whole system starts, only the heads list the store.
 func (f copyFetcher) Copy(ctx context.Context, atLeast int64) (mirror.Copy, bool) {
 	if known := f.knownHeads(); len(known) > 0 {
 		if f.leavesListingToOthers(atLeast) {
--- a/internal/router/managers.go
+++ b/internal/router/managers.go
@@ -7,7 +7,7 @@
 	"github.com/micahaven/micahaven/internal/shardmanager"
 )
 
-// managers runs a manager for each key-divided service of the configuration.
+// managers runs a manager for each sharded service of the configuration.
 type managers struct {
 	config shardmanager.Config
 
@@ -26,8 +26,8 @@
 	return &managers{config: config, running: make(map[string]*runningManager)}
 }
 
-// reconcile starts managers for new key-divided services and stops those of services that were
-// removed or are no longer key-divided.
+// reconcile starts managers for new sharded services and stops those of services that were
+// removed or are no longer sharded.
 func (m *managers) reconcile(ctx context.Context) {
 	table := m.config.Views.Current().Table
 	if table == nil {
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// handleReadiness answers the readiness check. The node is ready for new clients if it knows a
+// handleReadiness answers the readiness check. The node is ready for new clients if it has a
 // configuration and servers and is not stopping.
 func (n *Node) handleReadiness(writer http.ResponseWriter, _ *http.Request) {
 	current := n.views.Current()
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -291,7 +291,7 @@
 	return nil
 }
 
-// report sends this node's load measurements of each key-divided service to its manager.
+// report sends this node's load measurements of each sharded service to its manager.
 func (p *peers) report() {
 	current := p.views.Current()
 	if current.Table == nil {
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -12,7 +12,8 @@
 	"github.com/micahaven/micahaven/internal/wire"
 )
 
-// errNoResponse means that a node did not answer a quota report, or not with a quota answer.
+// errNoResponse means that a node did not answer a quota report, or not with a quota
+// response.
 var errNoResponse = errors.New("no response to a quota report")
 
 // quotaClient sends quota reports to other nodes. It implements quota.Transport.
--- a/internal/router/scale_test.go
+++ b/internal/router/scale_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// ownerItem returns an owner map with two ranges for each server of the key-divided service, one
+// ownerItem returns an owner map with two ranges for each server of the sharded service, one
 // of which has moved to another owner.
 func ownerItem(tb testing.TB, size fleetSize, revision int) topo.Item {
 	tb.Helper()
--- a/internal/schedule/retry.go
+++ b/internal/schedule/retry.go
@@ -35,7 +35,7 @@
 // has drained enough for its response to meet the objective, and after the retries of all
 // callers refused before it. blockedFor is the time for which the cause of the refusal is
 // known to last. An earlier retry would be refused again, so a blockedFor beyond the longest
-// delay that callers respect is returned all the same; any other delay is limited to that
+// delay that callers respect is returned unchanged; any other delay is limited to that
 // longest one. random, from 0 to 1, spreads the retries.
 func (r *RetrySchedule) After(now time.Time, request *Request, queue Queue, blockedFor time.Duration, random float64) time.Duration {
 	maxDelay := MaxRetryDelay(request.Deadline.Sub(now))
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -4,8 +4,8 @@
 //
 // It is designed for three kinds of load: a burst on one route beyond the capacity of its
 // servers, a server that is slow for a short time, and callers that retry immediately and
-// often. The caller of this package may know all requests of a server or only those of one
-// node. The rules are the same in both cases; decisions are only as accurate as this input.
+// often. The caller of this package may track all requests of a server or only those of
+// one node. The rules are the same in both cases; decisions are only as accurate as this input.
 package schedule
 
 import "time"
--- a/internal/shardmanager/campaign_test.go
+++ b/internal/shardmanager/campaign_test.go
@@ -254,8 +254,8 @@
 }
 
 // Guards against keys that stay without an owner because a manager that the store refuses continues
-// to renew grants after its lock went to another node, and its successor cannot know when that is
-// over. Seen on kervran-hq trouble-1, where the keys of a dead server were refused for 7 s.
+// to renew grants after its lock went to another node, and its successor cannot determine when that
+// ends. Seen on kervran-hq trouble-1, where the keys of a dead server were refused for 7 s.
 func TestManagerThatTheStoreRefusesHandsOverDirectly(t *testing.T) {
 	store := memory.New()
 	store.Write("servers/a", []byte("address a"))
--- a/internal/shardmanager/term.go
+++ b/internal/shardmanager/term.go
@@ -80,8 +80,8 @@
 	return t.written != nil
 }
 
-// updatePredecessors tells the core which earlier managers send no more orders. The caller holds
-// the mutex.
+// updatePredecessors reports to the core which earlier managers send no more commands. The caller
+// holds the mutex.
 func (t *term) updatePredecessors(current *view.View) {
 	self := t.manager.config.Self
 	t.core.RemoveStoppedAuthors(t.now(), func(author shards.Author) bool {
--- a/internal/shards/balance_test.go
+++ b/internal/shards/balance_test.go
@@ -176,7 +176,7 @@
 	if share := b.share()["a"]; share != 1 {
 		t.Errorf("the warm server owns %.2f of the keys, want all", share)
 	}
-	// No warm server accepts keys any more.
+	// From here on no warm server accepts keys.
 	b.servers[0].Accepting = false
 	b.run(time.Second, nil)
 	if share := b.share()["b"]; share != 1 {
--- a/internal/shards/decode_test.go
+++ b/internal/shards/decode_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// A node that only knows the earlier format would take the numbers for positions, and so take a
+// A node that only supports the earlier format would take the numbers for positions, and so take a
 // different server for the owner. It must find no ranges and reject the map.
 func TestMapWithNumbersHasNoRangesForEarlierNodes(t *testing.T) {
 	encoded, err := largeMap(9).Encode()
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// SetStoreHealthy tells the manager whether the store can be written. While it cannot, no range
+// SetStoreHealthy sets whether the store can be written. While it cannot, no range
 // is released, because no other owner could be committed.
 func (m *Manager) SetStoreHealthy(healthy bool) { m.storeHealthy = healthy }
 
--- a/internal/shards/predecessor.go
+++ b/internal/shards/predecessor.go
@@ -6,8 +6,8 @@
 )
 
 // authorsPendingAfter returns the managers that may still have commands in flight when a new
-// manager finds the given map: those that the map's author did not know to have stopped, and
-// the author itself unless it resigned.
+// manager finds the given map: those that the map lists as pending, and the map's author
+// unless it resigned.
 func authorsPendingAfter(previous *Map) []Author {
 	pending := append([]Author(nil), previous.Pending...)
 	if !previous.Resigned && previous.Author.Process != "" {
@@ -35,7 +35,7 @@
 }
 
 // tightenInheritedBounds shortens the wait for the grants of earlier managers once none of
-// these can send any more.
+// these can still send commands.
 func (m *Manager) tightenInheritedBounds(now time.Duration) {
 	until := now + m.maxLease()
 	if m.fromUnverified {
--- a/internal/shards/predecessor_test.go
+++ b/internal/shards/predecessor_test.go
@@ -57,8 +57,8 @@
 }
 
 // Guards against a successor that waits for managers after learning that they have stopped: two
-// managers in a row did not know that their predecessors had stopped, these announced it later,
-// and the third manager still waited 79 s. Found in the fault soak with seed 101.
+// managers in a row had not been notified that their predecessors had stopped, these announced it
+// later, and the third manager still waited 79 s. Found in the fault soak with seed 101.
 func TestAllEarlierManagersMayTurnOutToBeOver(t *testing.T) {
 	second := takeOver(firstMap(), author("p2", 2), 0)
 	stored := commitFirstMap(t, second, 0)
--- a/internal/shards/reduced_test.go
+++ b/internal/shards/reduced_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against the same failure where the server's remaining keys get no requests any more.
+// Guards against the same failure where the server's remaining keys no longer get requests.
 func TestServerWithReducedCapacityAndUnusedKeysGetsOthers(t *testing.T) {
 	var unused shards.Map
 	all := sparseDraw()
--- a/internal/shards/restore.go
+++ b/internal/shards/restore.go
@@ -6,8 +6,8 @@
 // be written. No other owner could be committed, and without an owner the keys are not served.
 //
 // The fence of the new grant is above that of the release, and a successor's fences are above
-// those of all earlier managers. A successor therefore need not know about the restored grant:
-// it assumes that the owner in the map may hold the range until this manager has stopped.
+// those of all earlier managers. A successor therefore needs no record of the restored grant: it
+// assumes that the owner in the map may hold the range until this manager has stopped.
 func (m *Manager) restore(now time.Duration, commands *Commands) {
 	for _, s := range m.shards {
 		owner := m.servers[s.committedOwner]
--- a/internal/shards/results.go
+++ b/internal/shards/results.go
@@ -55,7 +55,7 @@
 	s.leaseUntil = max(s.leaseUntil, sentAt+m.options.MaxCommandDelay+m.maxLease())
 	s.delayedGrantUntil = s.leaseUntil
 	if !s.Late {
-		// The next manager has to know about the unanswered grant.
+		// The next manager needs a record of the unanswered grant.
 		s.Late = true
 		m.uncommitted = true
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -219,7 +219,7 @@
 	}
 }
 
-// Undisturbed reports whether the node is not frozen, was not told to exit, has a working link
+// Undisturbed reports whether the node is not frozen, was not asked to exit, has a working link
 // to the store, and has had no disturbance for settleTime.
 func (n *Node) Undisturbed() bool {
 	n.mutex.Lock()
--- a/internal/tenants/authorize.go
+++ b/internal/tenants/authorize.go
@@ -45,10 +45,10 @@
 // Staleness defines how a node decides on keys when its copy of the configuration is old.
 type Staleness struct {
 	// UnknownAfter is the age from which a key that the copy lacks may have been added since.
-	// The client is then told to retry, instead of that the key is wrong.
+	// The response then asks the client to retry, instead of rejecting the key as invalid.
 	UnknownAfter time.Duration
-	// RevokedAfter is the age from which a key in the copy may have been revoked, so that no
-	// key is accepted any more; 0 if keys stay valid until the node learns otherwise.
+	// RevokedAfter is the age from which a key in the copy may have been revoked, so that
+	// no key is accepted; 0 if keys stay valid until the node receives their revocation.
 	RevokedAfter time.Duration
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,6 @@
 // Package upstream sends requests to servers over persistent HTTP/1.1 connections, one
 // request at a time on each connection. Unlike net/http's transport it never retries a
-// request by itself, and it matches responses to requests by a request id.
+// request on its own, and it matches responses to requests by a request id.
 package upstream
 
 import (
@@ -153,7 +153,7 @@
 const refusalTimeout = 200 * time.Millisecond
 
 // Refuses reports whether the server's machine refuses a new connection, which means that no
-// process listens there any more. A machine that does not respond does not count as refusing.
+// process listens there now. A machine that does not respond does not count as refusing.
 func (p *Pool) Refuses(ctx context.Context) bool {
 	bounded, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
--- a/internal/view/builder.go
+++ b/internal/view/builder.go
@@ -42,7 +42,7 @@
 	managers     *copyOnWriteMap[string, Manager]
 	retired      *copyOnWriteMap[string, Retirement]
 	nodes        *copyOnWriteIndex[string, Node]
-	// leaving holds when servers first announced in an answer that they are leaving.
+	// leaving holds when servers first announced in a response that they are leaving.
 	leaving map[discovery.ServerID]time.Time
 	// evacuations holds the evacuations in force and those that have ended, by zone.
 	evacuations *copyOnWriteMap[string, Evacuation]
--- a/internal/view/entries.go
+++ b/internal/view/entries.go
@@ -119,8 +119,8 @@
 // entry is missing: after an outage of the store, the entry may return without the draining state.
 const leavingRetention = 10 * time.Minute
 
-// MarkLeaving records that a server announced in an answer that it is leaving, and reports whether
-// that is new for a known server. The store may report it much later, or never if it is
+// MarkLeaving records that a server announced in a response that it is leaving, and reports
+// whether that is new for a known server. The store may report it much later, or never if it is
 // unavailable, so the server counts as draining from now on, whatever its entry says.
 func (b *Builder) MarkLeaving(id discovery.ServerID) bool {
 	b.mutex.Lock()
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -95,7 +95,7 @@
 	Share float64 `json:"share"`
 }
 
-// Server is a server's entry and what the view knows of its warm-up, draining and removal.
+// Server is a server's entry and what the view records of its warm-up, draining and removal.
 type Server struct {
 	discovery.Server
 	// Revision is the store's revision at the last change of the server's entry.
@@ -169,11 +169,11 @@
 	Nodes   Index[string, Node]
 	// Evacuations holds, by zone, the evacuations in force and those that have ended.
 	Evacuations map[string]Evacuation
-	// Unchanged tells which parts are unchanged since the previous view.
+	// Unchanged reports which parts are unchanged since the previous view.
 	Unchanged UnchangedParts
 }
 
-// UnchangedParts tells, for parts of a view, whether they are the same as in the previous view.
+// UnchangedParts reports, for parts of a view, whether they are the same as in the previous view.
 type UnchangedParts struct{ Table, Servers, Nodes, Evacuations bool }
 
 // Evacuation is an operator's order to send no requests to the servers of a zone.
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -22,7 +22,7 @@
 
 const serverKey = "servers/one"
 
-// withServer returns a builder that knows one server, and the time that its lapse function returns
+// withServer returns a builder with one server, and the time that its lapse function returns
 // (no lapse if zero).
 func withServer() (*view.Builder, *time.Time) {
 	until := new(time.Time)
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -13,7 +13,7 @@
 // the same time, because
 //   - a node whose copy of the store is not confirmed does not send, so that a replaced
 //     set of nodes is no longer used after maxCopyAge;
-//   - a node that has just started, and may know only some of the nodes, does not send;
+//   - a node that has just started, and may have discovered only some of the nodes, does not send;
 //   - a node that is lost remains a sender until its registration expires, which takes
 //     longer.
 //
