--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -16,8 +16,8 @@
 	crossZoneCost = 4
 	// warmingCost is the cost factor of a server that was started recently.
 	warmingCost = 1.8
-	// rightCost is the cost factor of a warming server that this node currently has the
-	// right to send to. Send rights are few and expire if unused.
+	// rightCost is the cost factor of a warming server that this node currently has a
+	// permit to send to. Send permits are few and expire if unused.
 	rightCost = 0.2
 	// defaultLatency is the assumed latency, in seconds, of a server that has not answered
 	// yet.
@@ -61,13 +61,13 @@
 }
 
 // owners returns the owner map of the request's service, and whether the service is
-// key-divided, that is, whether each key is served by one owner.
+// sharded, that is, whether each key is served by one owner.
 func (d *Dispatcher) owners(current *view.View, request *Request) (view.Owners, bool) {
 	if current.Table == nil {
 		return view.Owners{}, false
 	}
 	service, _ := current.Table.Service(request.Service)
-	return current.Owners[request.Service], service.KeyDivided
+	return current.Owners[request.Service], service.ShardedByKey
 }
 
 // chooseOwner returns the owner of the request's key if it can take the request now, or
@@ -103,9 +103,9 @@
 }
 
 // ownerOf returns the range that holds a request's key; false if the key has no owner.
-func (d *Dispatcher) ownerOf(request *Request, owners view.Owners) (shards.Held, bool) {
+func (d *Dispatcher) ownerOf(request *Request, owners view.Owners) (shards.OwnedRange, bool) {
 	if owners.Owners == nil || !request.HasKey || request.Key > shards.LastKey {
-		return shards.Held{}, false
+		return shards.OwnedRange{}, false
 	}
 	held := owners.Find(request.Key)
 	return held, held.Owner != ""
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -28,7 +28,7 @@
 	// only then. All of them may be read once done is closed.
 	sent    bool
 	server  *server
-	answer  *upstream.Answer
+	answer  *upstream.Response
 	outcome attemptOutcome
 	err     error
 	done    chan struct{}
@@ -36,9 +36,9 @@
 }
 
 // sendHedged sends a request to a server and, if that is slow, to a second one. The first
-// answer wins. The other attempt is canceled, which closes its connection to the server.
+// response wins. The other attempt is canceled, which closes its connection to the server.
 // sendHedged returns the server that the result comes from.
-func (d *Dispatcher) sendHedged(ctx context.Context, request *Request, s *server, deadline time.Time, trace *Trace, excluded map[discovery.ServerID]bool) (*server, *upstream.Answer, attemptOutcome, error) {
+func (d *Dispatcher) sendHedged(ctx context.Context, request *Request, s *server, deadline time.Time, trace *Trace, excluded map[discovery.ServerID]bool) (*server, *upstream.Response, attemptOutcome, error) {
 	delay, may := d.hedgeDelay(request, s, trace)
 	if !may {
 		answer, outcome, err := d.send(ctx, request, s, deadline)
@@ -99,24 +99,24 @@
 	}
 }
 
-// discard cancels a hedged attempt and closes its answer.
+// discard cancels a hedged attempt and closes its response.
 func (t *hedgedAttempt) discard() {
 	t.cancel()
 	<-t.done
 	discardRest(t.answer)
 }
 
-// discardRest closes the connection of an answer that is not passed on.
-func discardRest(answer *upstream.Answer) {
+// discardRest closes the connection of a response that is not passed on.
+func discardRest(answer *upstream.Response) {
 	if answer != nil && answer.Rest != nil {
 		// An error from Close changes nothing.
 		_ = answer.Rest.Close()
 	}
 }
 
-// cancelWithAnswer cancels an attempt's context at once if its answer is complete, and
-// otherwise when the rest of the answer is closed.
-func cancelWithAnswer(answer *upstream.Answer, cancel context.CancelFunc) *upstream.Answer {
+// cancelWithAnswer cancels an attempt's context at once if its response is complete, and
+// otherwise when the rest of the response is closed.
+func cancelWithAnswer(answer *upstream.Response, cancel context.CancelFunc) *upstream.Response {
 	if answer == nil || answer.Rest == nil {
 		cancel()
 		return answer
@@ -126,8 +126,8 @@
 }
 
 // hedgeDelay returns the time after which a request may be sent to a second server; false
-// if it may not. The request has to be repeatable, its service undivided, and the second
-// server's answer has to be expected in time.
+// if it may not. The request has to be repeatable, its service unsharded, and the second
+// server's response has to be expected in time.
 func (d *Dispatcher) hedgeDelay(request *Request, first *server, trace *Trace) (time.Duration, bool) {
 	if !request.Route.Repeatable || request.Rest != nil || trace.Attempts+2 > request.Route.MaxAttempts {
 		return 0, false
--- a/internal/dispatch/warming.go
+++ b/internal/dispatch/warming.go
@@ -25,8 +25,8 @@
 	return d.boundedWarmUp(current, s.Server)
 }
 
-// warmAt is when a server's warm-up ends, according to its registration and its answers to
-// probes, whichever is later. The caller holds the mutex.
+// warmAt is when a server's warm-up ends, according to its registration and its responses
+// to probes, whichever is later. The caller holds the mutex.
 func (s *server) warmAt(current *view.View) time.Time {
 	if warmAt := current.WarmUntil(s.Server); warmAt.After(s.coldUntil) {
 		return warmAt
@@ -50,14 +50,14 @@
 
 // maySend reports whether this node may send a request to a server now. It always may if
 // the server is warm or its warm-up rate is unbounded, and otherwise only with a send
-// right. The caller holds the mutex.
+// permit. The caller holds the mutex.
 func (d *Dispatcher) maySend(now time.Time, current *view.View, s *server) (may, bounded bool) {
 	server, bounded := d.warming(now, current, s)
 	if !bounded {
 		return true, false
 	}
 	age, known := d.copyAge()
-	return d.rights.May(now, server, warmup.Copy{Age: age, Known: known}), true
+	return d.permits.MaySend(now, server, warmup.CopyState{Age: age, Confirmed: known}), true
 }
 
 // reserve reserves a slot at a server for a request that is about to be sent. The caller
@@ -66,13 +66,13 @@
 	s.outstanding++
 	d.ensurePool(s)
 	if server, warmingUp := d.warming(now, d.views.Current(), s); warmingUp {
-		d.rights.Sent(now, server)
+		d.permits.RecordSent(now, server)
 	}
 }
 
 // ownerWarmingUp reports whether a request's key is owned by a warming server that this
 // node may not send to now, and for how long that server is still warming up. Waiting is
-// pointless then, because the nodes with send rights use up its rate. The caller holds the
+// pointless then, because the nodes with send permits use up its rate. The caller holds the
 // mutex.
 func (d *Dispatcher) ownerWarmingUp(now time.Time, request *Request) (left time.Duration, warmingUp bool) {
 	current := d.views.Current()
--- a/internal/dispatch/warming_test.go
+++ b/internal/dispatch/warming_test.go
@@ -17,7 +17,7 @@
 )
 
 // warmUpDocuments decodes server entries such as "service zone 3s", and a table with an
-// undivided and a key-divided service whose servers get 6.7 requests per second while they
+// unsharded and a sharded service whose servers get 6.7 requests per second while they
 // warm up.
 type warmUpDocuments struct{}
 
@@ -26,7 +26,7 @@
 func (warmUpDocuments) Table([]byte) (routing.Spec, error) {
 	return routing.Spec{Version: 1, Services: []routing.Service{
 		{Name: "plain", WarmUp: warmUpTime, WarmUpRate: 6.7},
-		{Name: "divided", WarmUp: warmUpTime, WarmUpRate: 6.7, KeyDivided: true, KeyWarmUp: keyWarmUp},
+		{Name: "divided", WarmUp: warmUpTime, WarmUpRate: 6.7, ShardedByKey: true, KeyWarmUp: keyWarmUp},
 	}}, nil
 }
 
@@ -141,7 +141,7 @@
 	for w.chooseID(now, "plain") != "" {
 		senders++
 	}
-	// 2 of the 20 nodes have send rights for each server.
+	// 2 of the 20 nodes have send permits for each server.
 	if senders > 10 {
 		t.Errorf("this node may send to %d of %d cold servers, want about 3", senders, servers)
 	}
@@ -177,8 +177,8 @@
 	w.put("evacuated/z", "")
 	// Its servers may have turned cold, which their registrations may report only later.
 	now = time.Now()
-	w.rights.SetNodes(now.Add(-time.Minute), nil)
-	w.rights.SetNodes(now.Add(-time.Minute), registeredNodes(w.builder.Current()))
+	w.permits.SetNodes(now.Add(-time.Minute), nil)
+	w.permits.SetNodes(now.Add(-time.Minute), registeredNodes(w.builder.Current()))
 	count := 0
 	for end := now.Add(time.Second); now.Before(end); now = now.Add(5 * time.Millisecond) {
 		if w.chooseID(now, "plain") == "s0" {
@@ -205,8 +205,8 @@
 	}
 }
 
-// A node that finds an evacuation in its first copy of the store does not know when it
-// began.
+// A node that finds an evacuation in its first copy of the store has no record of when
+// it began.
 func TestEvacuationThatWasThereBeforeTheNodeHasNoGrace(t *testing.T) {
 	layout := view.Layout{TableKey: "table", ServerPrefix: "servers/", EvacuationPrefix: "evacuated/"}
 	builder := view.NewBuilder(layout, warmUpDocuments{}, zap.NewNop())
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -15,8 +15,8 @@
 	later = time.Minute
 )
 
-// A context ends with the node whether it was made before the node was told to stop,
-// between that and its end, or after the end.
+// Contexts must end on shutdown whether they were created before the shutdown began, during it, or
+// after its deadline.
 func TestContextsEndWithTheNode(t *testing.T) {
 	end := ending.New()
 	limit := time.Now().Add(later)
@@ -31,13 +31,14 @@
 	defer afterBounds.Release()
 	<-after.Done()
 	for name, ctx := range map[string]context.Context{"before": before, "between": between, "after": after} {
-		if !ending.Ended(ctx) || !errors.Is(ctx.Err(), context.Canceled) {
+		if !ending.EndedByShutdown(ctx) || !errors.Is(ctx.Err(), context.Canceled) {
 			t.Errorf("%s: ended with %v because of %v", name, ctx.Err(), context.Cause(ctx))
 		}
 	}
 }
 
-// Other ends are not taken for that of the node.
+// Contexts that end because of their own deadline or a client that disconnected must not be
+// reported as ended by the shutdown.
 func TestOtherEndsAreNotTheNodes(t *testing.T) {
 	end := ending.New()
 	timed, timedBounds := end.Bound(context.Background(), time.Now().Add(soon))
@@ -48,11 +49,11 @@
 	leave()
 	<-timed.Done()
 	<-left.Done()
-	if ending.Ended(timed) || !errors.Is(timed.Err(), context.DeadlineExceeded) {
+	if ending.EndedByShutdown(timed) || !errors.Is(timed.Err(), context.DeadlineExceeded) {
 		t.Errorf("limit: %v", context.Cause(timed))
 	}
-	if ending.Ended(left) || !errors.Is(left.Err(), context.Canceled) {
-		t.Errorf("client that left: %v", context.Cause(left))
+	if ending.EndedByShutdown(left) || !errors.Is(left.Err(), context.Canceled) {
+		t.Errorf("disconnected client: %v", context.Cause(left))
 	}
 }
 
@@ -62,13 +63,13 @@
 	defer bounds.Release()
 	other, otherBounds := end.Bound(context.Background(), time.Now().Add(later))
 	defer otherBounds.Release()
-	bounds.Outlive()
+	bounds.Detach()
 	end.Set(time.Now())
 	<-other.Done()
 	if ctx.Err() != nil {
 		t.Errorf("ended with %v", ctx.Err())
 	}
-	if at, stops := end.At(); !stops || at.IsZero() {
-		t.Errorf("stops %v at %v", stops, at)
+	if at, stops := end.Deadline(); !stops || at.IsZero() {
+		t.Errorf("shutting down %v at %v", stops, at)
 	}
 }
--- a/internal/ingress/response_test.go
+++ b/internal/ingress/response_test.go
@@ -8,7 +8,7 @@
 	"github.com/micahaven/micahaven/internal/upstream"
 )
 
-// Guards against a HEAD response with Content-Length: 0, which tells the client that the
+// Guards against a HEAD response with Content-Length: 0, which indicates to the client that the
 // resource is empty.
 func TestContentLengthOfAnAnswer(t *testing.T) {
 	cases := map[string]struct {
@@ -32,7 +32,7 @@
 			header["Content-Length"] = c.declared
 		}
 		recorder := httptest.NewRecorder()
-		reply := &upstream.Answer{Status: c.status, Header: header, Body: []byte(c.body)}
+		reply := &upstream.Response{Status: c.status, Header: header, Body: []byte(c.body)}
 		pacedHandler().reply(recorder, c.method, reply, nil)
 		got := recorder.Result().Header["Content-Length"]
 		if len(got) != len(c.want) || (len(got) > 0 && got[0] != c.want[0]) {
--- a/internal/router/managers.go
+++ b/internal/router/managers.go
@@ -7,7 +7,7 @@
 	"github.com/micahaven/micahaven/internal/shardmanager"
 )
 
-// managers runs a manager for each key-divided service of the configuration.
+// managers runs a manager for each sharded service of the configuration.
 type managers struct {
 	config shardmanager.Config
 
@@ -26,8 +26,9 @@
 	return &managers{config: config, running: make(map[string]*runningManager)}
 }
 
-// follow starts managers for new services and stops those of services that went.
-func (m *managers) follow(ctx context.Context) {
+// reconcile starts managers for new sharded services and stops those of services that were
+// removed or are no longer sharded.
+func (m *managers) reconcile(ctx context.Context) {
 	table := m.config.Views.Current().Table
 	if table == nil {
 		return
@@ -38,12 +39,12 @@
 		return
 	}
 	for name, service := range table.Services() {
-		if service.KeyDivided && m.running[name] == nil {
+		if service.ShardedByKey && m.running[name] == nil {
 			m.start(ctx, name)
 		}
 	}
 	for name, running := range m.running {
-		if service, known := table.Service(name); !known || !service.KeyDivided {
+		if service, known := table.Service(name); !known || !service.ShardedByKey {
 			running.cancel()
 			delete(m.running, name)
 		}
@@ -66,7 +67,7 @@
 	}
 }
 
-// stop gives all locks up and starts no more managers.
+// stop makes all managers release their locks and starts no more managers.
 func (m *managers) stop() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
